--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -18,7 +18,7 @@
         share::{Bound, Share},
         split::Dealer,
     },
-    cowslip_settings::process::{Process, bounds::Bounds},
+    cowslip_settings::process::{ProcessSettings, bounds::Bounds},
     std::{
         cell::{Cell, RefCell},
         collections::BTreeMap,
@@ -79,7 +79,7 @@
 /// What the tasks of an instance share.
 pub struct Context {
     /// Settings of the process.
-    pub settings: Process,
+    pub settings: ProcessSettings,
     /// Bounds, which a reload replaces.
     pub bounds: RefCell<Bounds>,
     /// Run of this instance; rows that it wrote bear it.
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     /// Fails if the log cannot be opened.
-    pub fn new(settings: Process, socket: UdpSocket) -> eyre::Result<Self> {
+    pub fn new(settings: ProcessSettings, socket: UdpSocket) -> eyre::Result<Self> {
         let incarnation = Incarnation(since_epoch().as_micros() as u64);
         let origin = Origin {
             process: settings.name.clone(),
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -299,7 +299,7 @@
     let table = owners
         .as_ref()
         .map_or_else(Table::default, |it| (*it.table).clone());
-    let max_hold = context.bounds.borrow().max_hold;
+    let max_hold = context.bounds.borrow().max_ttl;
     let timing = Timing {
         hold: HOLD.min(max_hold),
         long_hold: max_hold,
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -252,7 +252,7 @@
 /// said when it gave its row up, or else that of a grant sent at the end of its lease.
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
-    let longest = inherited(context.bounds.borrow().max_hold, courier::FLIGHT);
+    let longest = inherited(context.bounds.borrow().max_ttl, courier::FLIGHT);
     said.or_else(|| Some(Duration::from_millis(row.told?) + TERM + longest))
 }
 
--- a/crates/cowslipctl/src/cli.rs
+++ b/crates/cowslipctl/src/cli.rs
@@ -41,7 +41,7 @@
   cowslipctl explain 7c5ee32bd7d4ed08 all.log --json";
 
 /// Returns the whole command line.
-pub fn command() -> Command {
+pub fn build_command() -> Command {
     Command::new("cowslipctl")
         .about("Checks and shows configurations of cowslipcross, and looks at instances")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/cowslipctl/src/commands.rs
+++ b/crates/cowslipctl/src/commands.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        access, check, cli,
-        error::{Error, Exit, Result},
+        cli, configuration,
+        error::{Error, ExitStatus, Result},
         explain,
-        reply::Reply,
-        status, timeline,
+        output::CommandOutput,
+        settings, status, timeline,
     },
     clap::ArgMatches,
     std::{
@@ -20,54 +20,54 @@
 ///
 /// # Errors
 /// Fails if the output cannot be written.
-pub async fn main(args: impl IntoIterator<Item = OsString>) -> io::Result<Exit> {
-    let matches = match cli::command().try_get_matches_from(args) {
+pub async fn run(args: impl IntoIterator<Item = OsString>) -> io::Result<ExitStatus> {
+    let matches = match cli::build_command().try_get_matches_from(args) {
         Ok(matches) => matches,
         Err(error) => {
             error.print()?;
             return Ok(if error.use_stderr() {
-                Exit::Usage
+                ExitStatus::Usage
             } else {
-                Exit::Done
+                ExitStatus::Success
             });
         }
     };
     let json = matches.get_flag("json");
-    match run(&matches).await {
+    match run_subcommand(&matches).await {
         Ok(reply) => {
             print(&mut io::stdout().lock(), &reply, json)?;
-            Ok(reply.exit)
+            Ok(reply.exit_status)
         }
         Err(error) => {
-            let reply = Reply::from(&error);
+            let reply = CommandOutput::from(&error);
             match json {
                 true => print(&mut io::stdout().lock(), &reply, true)?,
                 false => writeln!(io::stderr(), "cowslipctl: {}", reply.text)?,
             }
-            Ok(reply.exit)
+            Ok(reply.exit_status)
         }
     }
 }
 
-async fn run(matches: &ArgMatches) -> Result<Reply> {
+async fn run_subcommand(matches: &ArgMatches) -> Result<CommandOutput> {
     let Some((name, matches)) = matches.subcommand() else {
-        return Err(Error::Lacking("expected a subcommand".to_owned()));
+        return Err(Error::Usage("expected a subcommand".to_owned()));
     };
     if name == "check" {
-        return check::file(required(matches, "file"));
+        return configuration::check_file(required(matches, "file"));
     }
     if name == "explain" {
-        return explain::show(matches);
+        return explain::explain_request(matches);
     }
-    let settings = access::settings(matches)?;
+    let settings = settings::load(matches)?;
     match name {
-        "show" => check::show(&settings).await,
-        "status" => status::show(&settings).await,
-        _ => timeline::show(&settings, matches).await,
+        "show" => configuration::show_stored(&settings).await,
+        "status" => status::show_status(&settings).await,
+        _ => timeline::show_timeline(&settings, matches).await,
     }
 }
 
-fn print(out: &mut impl Write, reply: &Reply, json: bool) -> io::Result<()> {
+fn print(out: &mut impl Write, reply: &CommandOutput, json: bool) -> io::Result<()> {
     match json {
         true => writeln!(out, "{}", reply.json),
         false => out.write_all(reply.text.as_bytes()),
--- a/crates/cowslipctl/src/check.rs
+++ b/crates/cowslipctl/src/configuration.rs
@@ -3,19 +3,19 @@
 use {
     crate::{
         error::{Error, Result},
-        reply::Reply,
+        output::CommandOutput,
     },
     cowslip_adapter::{
         config::Config,
         store::{OPERATOR_TABLE, OperatorRow, Row, Store},
     },
-    cowslip_settings::operator::Operator,
+    cowslip_settings::operator::OperatorSettings,
     serde_json::{Value, json},
     std::{fs, path::Path, time::Duration},
 };
 
 /// Checks the configuration in a file; parts that instances would leave out are refused.
-pub(crate) fn file(path: &Path) -> Result<Reply> {
+pub(crate) fn check_file(path: &Path) -> Result<CommandOutput> {
     let name = path.display().to_string();
     let text = fs::read(path).map_err(|cause| Error::File {
         file: name.clone(),
@@ -25,25 +25,25 @@
     let causes: Vec<String> = config.skipped.iter().map(ToString::to_string).collect();
     if !causes.is_empty() {
         let causes = causes.join("\n  ");
-        return Err(Error::Refused(format!("{name}: left out:\n  {causes}")));
+        return Err(Error::Failure(format!("{name}: left out:\n  {causes}")));
     }
     let counts = counts(&config);
-    Ok(Reply::done(
+    Ok(CommandOutput::success(
         format!("{name}: valid, {counts}\n"),
         summary(&config),
     ))
 }
 
 /// Shows the configuration in the store and the withdrawn data centres.
-pub(crate) async fn show(settings: &Operator) -> Result<Reply> {
-    let lacking = || Error::Lacking("settings: store: missing, expected an address".to_owned());
+pub(crate) async fn show_stored(settings: &OperatorSettings) -> Result<CommandOutput> {
+    let lacking = || Error::Usage("settings: store: missing, expected an address".to_owned());
     let address = settings.store.ok_or_else(lacking)?;
     let limit = Duration::from_millis(settings.timeout_ms);
     let rows = Store::new(address).rows(OPERATOR_TABLE, limit).await;
     let rows = rows.map_err(|error| Error::Unreachable(error.to_string()))?;
     let body = rows.rows.iter().find_map(configuration);
     let body =
-        body.ok_or_else(|| Error::Refused("no configuration is in the store yet".to_owned()))?;
+        body.ok_or_else(|| Error::Failure("no configuration is in the store yet".to_owned()))?;
     let config = decoded(body, "store")?;
     let withdrawn: Vec<String> = rows.rows.iter().filter_map(withdrawn).collect();
     let names = match withdrawn.is_empty() {
@@ -71,11 +71,11 @@
     }
     let mut json = summary(&config);
     json["withdrawn"] = json!(withdrawn);
-    Ok(Reply::done(text, json))
+    Ok(CommandOutput::success(text, json))
 }
 
 fn decoded(body: &[u8], name: &str) -> Result<Config> {
-    Config::try_from(body).map_err(|error| Error::Refused(format!("{name}: {error}")))
+    Config::try_from(body).map_err(|error| Error::Failure(format!("{name}: {error}")))
 }
 
 fn configuration(row: &Row) -> Option<&[u8]> {
--- a/crates/cowslipctl/src/error.rs
+++ b/crates/cowslipctl/src/error.rs
@@ -10,28 +10,28 @@
 
 /// Exit code of the command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitStatus {
     /// Done.
-    Done,
+    Success,
     /// The configuration was refused, or nothing was found.
-    Refused,
+    Failure,
     /// Wrong flags or settings.
     Usage,
     /// The store, or every instance asked, could not be reached.
     Unreachable,
     /// Some instances could not be reached.
-    Partly,
+    Partial,
 }
 
 /// Failure of a subcommand.
 #[derive(Debug)]
 pub enum Error {
     /// The configuration is not valid, or nothing was found.
-    Refused(String),
+    Failure(String),
     /// The settings of the command are not valid.
     Settings(SettingsError),
     /// The settings lack what the subcommand needs.
-    Lacking(String),
+    Usage(String),
     /// A file cannot be read or written.
     File {
         /// Name of the file.
@@ -43,26 +43,26 @@
     Unreachable(String),
 }
 
-impl Exit {
+impl ExitStatus {
     /// Returns the number that the process ends with.
     pub fn code(self) -> u8 {
         match self {
-            Self::Done => 0,
-            Self::Refused => 1,
+            Self::Success => 0,
+            Self::Failure => 1,
             Self::Usage => 2,
             Self::Unreachable => 4,
-            Self::Partly => 5,
+            Self::Partial => 5,
         }
     }
 }
 
 impl Error {
     /// Returns the exit code of the failure.
-    pub fn exit(&self) -> Exit {
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::Refused(_) => Exit::Refused,
-            Self::Settings(_) | Self::Lacking(_) | Self::File { .. } => Exit::Usage,
-            Self::Unreachable(_) => Exit::Unreachable,
+            Self::Failure(_) => ExitStatus::Failure,
+            Self::Settings(_) | Self::Usage(_) | Self::File { .. } => ExitStatus::Usage,
+            Self::Unreachable(_) => ExitStatus::Unreachable,
         }
     }
 }
@@ -71,7 +71,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Settings(error) => error.fmt(f),
-            Self::Refused(message) | Self::Lacking(message) => message.fmt(f),
+            Self::Failure(message) | Self::Usage(message) => message.fmt(f),
             Self::File { file, cause } => write!(f, "{file}: {cause}"),
             Self::Unreachable(cause) => write!(f, "store unreachable: {cause}"),
         }
--- a/crates/cowslipctl/src/explain.rs
+++ b/crates/cowslipctl/src/explain.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::{Error, Result},
-        reply::Reply,
+        output::CommandOutput,
     },
     clap::ArgMatches,
     serde::Deserialize,
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Fails if a log cannot be read or none mentions the request.
-pub fn show(matches: &ArgMatches) -> Result<Reply> {
+pub fn explain_request(matches: &ArgMatches) -> Result<CommandOutput> {
     let id = matches
         .get_one::<String>("request")
         .cloned()
@@ -60,7 +60,7 @@
     }
     let found = explain(&lines, &id);
     if found.is_empty() {
-        return Err(Error::Refused(format!("no line is about request {id:?}")));
+        return Err(Error::Failure(format!("no line is about request {id:?}")));
     }
     let text = found.iter().map(|line| {
         let (wall, count) = (line.wall, line.count);
@@ -73,7 +73,7 @@
         .iter()
         .map(|line| json!({"wall": line.wall, "process": line.process, "code": line.code, "text": line.text}))
         .collect();
-    Ok(Reply::done(
+    Ok(CommandOutput::success(
         text.collect::<String>(),
         json!({"request": id, "lines": rows}),
     ))
--- a/crates/cowslipctl/src/instances.rs
+++ b/crates/cowslipctl/src/instances.rs
@@ -3,7 +3,7 @@
 use {
     bytes::Bytes,
     cowslip_decide::names::Name,
-    cowslip_settings::operator::Operator,
+    cowslip_settings::operator::OperatorSettings,
     eyre::Report,
     http::{Request, header::AUTHORIZATION},
     http_body_util::{BodyExt, Empty, Limited},
@@ -18,15 +18,15 @@
 
 /// What the instances answered, and why others did not.
 #[derive(Clone, Debug)]
-pub struct Answers<T> {
-    /// Answers by the name of the instance.
+pub struct Responses<T> {
+    /// Responses by the name of the instance.
     pub reached: BTreeMap<Name, T>,
     /// Causes by the name of the instance.
     pub unreachable: BTreeMap<Name, String>,
 }
 
 /// Asks every instance at the same time for the JSON of a path.
-pub async fn ask<T>(settings: &Operator, path: &'static str) -> Answers<T>
+pub async fn query_all<T>(settings: &OperatorSettings, path: &'static str) -> Responses<T>
 where
     T: DeserializeOwned + Send + 'static,
 {
@@ -40,7 +40,7 @@
             (name, timeout(limit, call).await.unwrap_or(Err(late)))
         });
     }
-    let mut answers = Answers {
+    let mut answers = Responses {
         reached: BTreeMap::new(),
         unreachable: BTreeMap::new(),
     };
--- a/crates/cowslipctl/src/lib.rs
+++ b/crates/cowslipctl/src/lib.rs
@@ -5,9 +5,9 @@
 pub mod error;
 pub mod explain;
 pub mod instances;
-pub mod reply;
+pub mod output;
 pub mod timeline;
 
-mod access;
-mod check;
+mod configuration;
+mod settings;
 mod status;
--- a/crates/cowslipctl/src/main.rs
+++ b/crates/cowslipctl/src/main.rs
@@ -6,6 +6,6 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let exit = runtime.block_on(cowslipctl::commands::main(std::env::args_os()))?;
+    let exit = runtime.block_on(cowslipctl::commands::run(std::env::args_os()))?;
     Ok(ExitCode::from(exit.code()))
 }
--- a/crates/cowslipctl/src/reply.rs
+++ b/crates/cowslipctl/src/output.rs
@@ -1,36 +1,36 @@
 //! What a subcommand prints, as text and as JSON.
 
 use {
-    crate::error::{Error, Exit},
+    crate::error::{Error, ExitStatus},
     serde_json::{Value, json},
 };
 
 /// Output of a subcommand.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct CommandOutput {
     /// For people.
     pub text: String,
     /// For scripts.
     pub json: Value,
     /// Exit code.
-    pub exit: Exit,
+    pub exit_status: ExitStatus,
 }
 
-impl Reply {
+impl CommandOutput {
     /// Returns the output of a subcommand that did all it should.
-    pub fn done(text: impl Into<String>, json: Value) -> Self {
+    pub fn success(text: impl Into<String>, json: Value) -> Self {
         Self {
             text: text.into(),
             json,
-            exit: Exit::Done,
+            exit_status: ExitStatus::Success,
         }
     }
 }
 
-impl From<&Error> for Reply {
+impl From<&Error> for CommandOutput {
     fn from(error: &Error) -> Self {
-        let exit = error.exit();
-        let mut json = json!({ "error": error.to_string(), "exit": exit.code() });
+        let exit_status = error.exit_status();
+        let mut json = json!({ "error": error.to_string(), "exit": exit_status.code() });
         if let Error::Settings(error) = error {
             json["line"] = json!(error.line());
             json["path"] = json!(error.path());
@@ -38,7 +38,7 @@
         Self {
             text: error.to_string(),
             json,
-            exit,
+            exit_status,
         }
     }
 }
--- a/crates/cowslipctl/src/status.rs
+++ b/crates/cowslipctl/src/status.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        error::{Error, Exit, Result},
-        instances::{self, Answers},
-        reply::Reply,
+        error::{Error, ExitStatus, Result},
+        instances::{self, Responses},
+        output::CommandOutput,
     },
     cowslip_decide::names::Name,
-    cowslip_settings::operator::Operator,
+    cowslip_settings::operator::OperatorSettings,
     serde::{Deserialize, Serialize},
     serde_json::{Value, json},
     std::{collections::BTreeMap, fmt::Write},
@@ -36,27 +36,27 @@
 }
 
 /// Shows the state of all instances.
-pub(crate) async fn show(settings: &Operator) -> Result<Reply> {
-    let answers: Answers<Status> = instances::ask(settings, "/status").await;
-    let exit = exit(settings, &answers)?;
-    Ok(Reply {
+pub(crate) async fn show_status(settings: &OperatorSettings) -> Result<CommandOutput> {
+    let answers: Responses<Status> = instances::query_all(settings, "/status").await;
+    let exit_status = exit(settings, &answers)?;
+    Ok(CommandOutput {
         text: table(&answers),
         json: json!({ "instances": answers.reached, "unreachable": answers.unreachable }),
-        exit,
+        exit_status,
     })
 }
 
 /// Returns the exit code that fits who was reached.
-pub(crate) fn exit<T>(settings: &Operator, answers: &Answers<T>) -> Result<Exit> {
+pub(crate) fn exit<T>(settings: &OperatorSettings, answers: &Responses<T>) -> Result<ExitStatus> {
     if settings.instances.is_empty() {
         let message = "settings: instances: missing, expected at least one address";
-        return Err(Error::Lacking(message.to_owned()));
+        return Err(Error::Usage(message.to_owned()));
     }
     Ok(
         match (answers.reached.is_empty(), answers.unreachable.is_empty()) {
-            (true, _) => Exit::Unreachable,
-            (false, false) => Exit::Partly,
-            (false, true) => Exit::Done,
+            (true, _) => ExitStatus::Unreachable,
+            (false, false) => ExitStatus::Partial,
+            (false, true) => ExitStatus::Success,
         },
     )
 }
@@ -69,7 +69,7 @@
     lines.collect()
 }
 
-fn table(answers: &Answers<Status>) -> String {
+fn table(answers: &Responses<Status>) -> String {
     let mut text = format!(
         "{:<20} {:<12} {:<9} {:>6} {:>7} {:>8} {:>22}\n",
         "instance", "data centre", "state", "config", "targets", "requests", "ages of views in ms",
--- a/crates/cowslipctl/src/timeline/picture.rs
+++ b/crates/cowslipctl/src/timeline/diagram.rs
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// Passes on what the plotting library says.
-pub fn svg(events: &[Event]) -> Result<String> {
+pub fn render_svg(events: &[Event]) -> Result<String> {
     let mut text = String::new();
     draw(events, &mut text)?;
     Ok(text)
--- a/crates/cowslipctl/src/timeline/event.rs
+++ b/crates/cowslipctl/src/timeline/event.rs
@@ -11,7 +11,7 @@
 
 /// Events of one process.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Page {
+pub struct EventPage {
     /// Events, the oldest first.
     pub events: Vec<Event>,
     /// Events that the ring has dropped.
@@ -57,7 +57,7 @@
 
 impl Event {
     /// Returns what the causal order compares.
-    pub fn order(&self) -> impl Ord + '_ {
+    pub fn sort_key(&self) -> impl Ord + '_ {
         (
             self.wall,
             self.count,
--- a/crates/cowslipctl/src/timeline/filter.rs
+++ b/crates/cowslipctl/src/timeline/filter.rs
@@ -4,7 +4,7 @@
 
 /// Conditions that an event must meet; an absent one is met by all.
 #[derive(Clone, Debug, Default)]
-pub struct Filter {
+pub struct EventFilter {
     /// Key or range.
     pub key: Option<Name>,
     /// Target.
@@ -17,9 +17,9 @@
     pub data_centre: Option<Name>,
 }
 
-impl Filter {
+impl EventFilter {
     /// Returns the events that meet all conditions.
-    pub fn kept<'a>(&self, events: impl Iterator<Item = &'a Event>) -> Vec<&'a Event> {
+    pub fn select<'a>(&self, events: impl Iterator<Item = &'a Event>) -> Vec<&'a Event> {
         events.filter(|event| self.passes(event)).collect()
     }
 
@@ -38,7 +38,7 @@
     }
 }
 
-impl From<&ArgMatches> for Filter {
+impl From<&ArgMatches> for EventFilter {
     fn from(matches: &ArgMatches) -> Self {
         let name = |id: &str| matches.get_one::<String>(id).map(|it| it.as_str().into());
         Self {
--- a/crates/cowslipctl/tests/docs.rs
+++ b/crates/cowslipctl/tests/docs.rs
@@ -33,7 +33,7 @@
         if !line.starts_with("cowslipctl ") {
             continue;
         }
-        let parsed = cli::command().try_get_matches_from(words(line));
+        let parsed = cli::build_command().try_get_matches_from(words(line));
         assert!(parsed.is_ok(), "{line}: {parsed:?}");
         count += 1;
     }
--- a/crates/cowslipctl/tests/explain.rs
+++ b/crates/cowslipctl/tests/explain.rs
@@ -1,7 +1,7 @@
 //! `cowslipctl explain` finds the cause of a request in true log lines.
 
 use {
-    cowslipctl::{commands, error::Exit, explain},
+    cowslipctl::{commands, error::ExitStatus, explain},
     std::{
         env, fs,
         path::{Path, PathBuf},
@@ -18,9 +18,10 @@
 
 fn reply(id: &str, path: &Path) -> cowslipctl::error::Result<String> {
     let path = path.to_str().expect("a path");
-    let matches = cowslipctl::cli::command().get_matches_from(["cowslipctl", "explain", id, path]);
+    let matches =
+        cowslipctl::cli::build_command().get_matches_from(["cowslipctl", "explain", id, path]);
     let (_, matches) = matches.subcommand().expect("a subcommand");
-    explain::show(matches).map(|reply| reply.text)
+    explain::explain_request(matches).map(|reply| reply.text)
 }
 
 #[test]
@@ -62,7 +63,7 @@
         path.to_str().expect("a path"),
         "--json",
     ];
-    let exit = commands::main(args.map(Into::into)).await.expect("output");
-    assert_eq!(exit, Exit::Refused);
+    let exit = commands::run(args.map(Into::into)).await.expect("output");
+    assert_eq!(exit, ExitStatus::Failure);
     fs::remove_file(path).expect("the file is there");
 }
--- a/crates/cowslipctl/tests/timeline.rs
+++ b/crates/cowslipctl/tests/timeline.rs
@@ -4,9 +4,10 @@
     cowslip_decide::names::{Incarnation, Name},
     cowslipcross::events::{self, About, Events, Origin, Stamp},
     cowslipctl::timeline::{
-        event::{Event, Page},
-        filter::Filter,
-        merge, picture,
+        diagram,
+        event::{Event, EventPage},
+        filter::EventFilter,
+        merge_events,
     },
     quickcheck::{Arbitrary, Gen},
     std::collections::BTreeMap,
@@ -23,7 +24,7 @@
     Events::new(origin, 10_000, None)
 }
 
-fn pages(processes: &[Events]) -> BTreeMap<Name, Page> {
+fn pages(processes: &[Events]) -> BTreeMap<Name, EventPage> {
     let page = |events: &Events| {
         let json = serde_json::to_string(&events.page(0)).expect("JSON");
         serde_json::from_str(&json).expect("a page")
@@ -76,7 +77,7 @@
             });
         }
         // Numbers follow the events in the order of noting, not of the merge.
-        let merged = merge(&pages(&processes), &Filter::default());
+        let merged = merge_events(&pages(&processes), &EventFilter::default());
         assert_eq!(merged.len(), 200);
         let number = |event: &Event| {
             event
@@ -125,53 +126,53 @@
     for (index, about) in about.into_iter().enumerate() {
         processes[index % 2].note(events::STORE_UP, about);
     }
-    let count = |filter: Filter| merge(&pages(&processes), &filter).len();
-    let all = Filter::default;
+    let count = |filter: EventFilter| merge_events(&pages(&processes), &filter).len();
+    let all = EventFilter::default;
     assert_eq!(count(all()), 4);
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             request: some("entry-0-1-7"),
             ..all()
         }),
         1
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             target: some("board-2"),
             ..all()
         }),
         1
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             key: some("site-4"),
             ..all()
         }),
         1
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             instance: some("entry-9"),
             ..all()
         }),
         1
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             instance: some("entry-0"),
             ..all()
         }),
         2
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             data_centre: some("hk-1"),
             ..all()
         }),
         2
     );
     assert_eq!(
-        count(Filter {
+        count(EventFilter {
             data_centre: some("hk-1"),
             target: some("board-1"),
             ..all()
@@ -184,12 +185,13 @@
 fn the_picture_has_a_point_for_each_event() {
     let processes: Vec<_> = (0..3).map(process).collect();
     (0..9).for_each(|index| processes[index % 3].note(events::LEADER_LOST, About::default()));
-    let svg = picture::svg(&merge(&pages(&processes), &Filter::default())).expect("a picture");
+    let svg = diagram::render_svg(&merge_events(&pages(&processes), &EventFilter::default()))
+        .expect("a picture");
     assert_eq!(svg.matches("<circle").count(), 9);
     assert_eq!(svg.matches("CC0609").count(), 9);
     (0..3).for_each(|index| assert_eq!(svg.matches(&format!("entry-{index}")).count(), 1, "{svg}"));
     assert!(
-        picture::svg(&[])
+        diagram::render_svg(&[])
             .expect("an empty picture")
             .starts_with("<svg")
     );
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -21,32 +21,32 @@
     /// The text is not TOML.
     Syntax {
         /// Where the text goes wrong.
-        place: Place,
+        location: Location,
         /// What the parser says.
         message: String,
     },
     /// A field that does not exist.
-    Unknown {
+    UnknownField {
         /// Where the field stands.
-        place: Place,
+        location: Location,
         /// Path of the field.
         path: String,
         /// Fields that exist there.
         expected: String,
     },
     /// A field without default is absent.
-    Missing {
+    MissingField {
         /// Where the table begins that lacks the field.
-        place: Place,
+        location: Location,
         /// Path of the field.
         path: String,
         /// What the field should hold.
         expected: String,
     },
     /// A field holds a value of another type, out of bounds or at odds with another field.
-    Invalid {
+    InvalidValue {
         /// Where the value stands.
-        place: Place,
+        location: Location,
         /// Path of the field.
         path: String,
         /// What the field should hold.
@@ -58,7 +58,7 @@
 
 /// Place of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// A line of a file, counted from 1.
     Line {
         /// Name of the file.
@@ -75,29 +75,29 @@
     pub fn path(&self) -> Option<&str> {
         match self {
             Self::Unreadable { .. } | Self::Syntax { .. } => None,
-            Self::Unknown { path, .. }
-            | Self::Missing { path, .. }
-            | Self::Invalid { path, .. } => Some(path),
+            Self::UnknownField { path, .. }
+            | Self::MissingField { path, .. }
+            | Self::InvalidValue { path, .. } => Some(path),
         }
     }
 
     /// Returns the line that is wrong, or `None` for a flag or an unreadable file.
     pub fn line(&self) -> Option<usize> {
-        let place = match self {
+        let location = match self {
             Self::Unreadable { .. } => return None,
-            Self::Syntax { place, .. }
-            | Self::Unknown { place, .. }
-            | Self::Missing { place, .. }
-            | Self::Invalid { place, .. } => place,
+            Self::Syntax { location, .. }
+            | Self::UnknownField { location, .. }
+            | Self::MissingField { location, .. }
+            | Self::InvalidValue { location, .. } => location,
         };
-        match place {
-            Place::Line { line, .. } => Some(*line),
-            Place::Flag => None,
+        match location {
+            Location::Line { line, .. } => Some(*line),
+            Location::Flag => None,
         }
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Line { file, line } => write!(f, "{file}:{line}"),
@@ -110,23 +110,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable { file, cause } => write!(f, "{file}: cannot be read: {cause}"),
-            Self::Syntax { place, message } => write!(f, "{place}: not valid TOML: {message}"),
-            Self::Unknown {
-                place,
+            Self::Syntax { location, message } => {
+                write!(f, "{location}: not valid TOML: {message}")
+            }
+            Self::UnknownField {
+                location,
                 path,
                 expected,
-            } => write!(f, "{place}: {path}: unknown field, expected {expected}"),
-            Self::Missing {
-                place,
+            } => write!(f, "{location}: {path}: unknown field, expected {expected}"),
+            Self::MissingField {
+                location,
                 path,
                 expected,
-            } => write!(f, "{place}: {path}: missing, expected {expected}"),
-            Self::Invalid {
-                place,
+            } => write!(f, "{location}: {path}: missing, expected {expected}"),
+            Self::InvalidValue {
+                location,
                 path,
                 expected,
                 found,
-            } => write!(f, "{place}: {path}: expected {expected}, found {found}"),
+            } => write!(f, "{location}: {path}: expected {expected}, found {found}"),
         }
     }
 }
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -8,30 +8,30 @@
     /// Path without indices; `*` stands for any name.
     pub path: &'static str,
     /// Type and bounds.
-    pub kind: Kind,
+    pub value_type: ValueType,
     /// Unit of a number, or nothing.
     pub unit: &'static str,
     /// Value of an absent field; `None` if the field must be there.
     pub default: Option<&'static str>,
     /// What the field is for.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
 /// Type of a field with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ValueType {
     /// Text of so many bytes.
     Text(usize, usize),
     /// Text of so many bytes that errors do not repeat.
     Secret(usize, usize),
     /// A whole number within bounds, both included.
-    Number(u64, u64),
+    Integer(u64, u64),
     /// `ip:port` with a port of 1 or more.
     Address,
     /// A time with its unit as a text; an empty one stands for the default.
-    Time,
+    Duration,
     /// A number of 0 or more, also as a text; an empty one stands for the default.
-    Share,
+    Decimal,
 }
 
 impl Field {
@@ -41,7 +41,7 @@
     }
 
     /// Returns the row of this field in `docs/CONFIGURATION.md`.
-    pub fn row(&self) -> String {
+    pub fn markdown_row(&self) -> String {
         let default = match self.default {
             None => "required".to_owned(),
             Some("") => "empty".to_owned(),
@@ -49,20 +49,20 @@
         };
         format!(
             "| `{}` | {} | {} | {} | {} |",
-            self.path, self.kind, self.unit, default, self.meaning
+            self.path, self.value_type, self.unit, default, self.description
         )
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ValueType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Text(low, high) => write!(f, "a text of {low} to {high} bytes"),
             Self::Secret(low, high) => write!(f, "a secret text of {low} to {high} bytes"),
-            Self::Number(low, high) => write!(f, "a whole number from {low} to {high}"),
+            Self::Integer(low, high) => write!(f, "a whole number from {low} to {high}"),
             Self::Address => f.write_str("an address as ip:port with a port from 1 to 65535"),
-            Self::Time => f.write_str("a time such as \"2500ms\" or \"6s\", at most a day"),
-            Self::Share => f.write_str("a number of 0 or more"),
+            Self::Duration => f.write_str("a time such as \"2500ms\" or \"6s\", at most a day"),
+            Self::Decimal => f.write_str("a number of 0 or more"),
         }
     }
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, Kind},
+        field::{Field, ValueType},
         overrides::Overrides,
         reader::{self, Section},
     },
@@ -13,31 +13,31 @@
 
 const TOKEN: Field = Field {
     path: "token",
-    kind: Kind::Secret(0, 256),
+    value_type: ValueType::Secret(0, 256),
     unit: "",
     default: Some(""),
-    meaning: "Secret of the operators' ports.",
+    description: "Secret of the operators' ports.",
 };
 const STORE: Field = Field {
     path: "store",
-    kind: Kind::Address,
+    value_type: ValueType::Address,
     unit: "",
     default: Some(""),
-    meaning: "Address of the platform's store; `show` needs it.",
+    description: "Address of the platform's store; `show` needs it.",
 };
 const TIMEOUT: Field = Field {
     path: "timeout_ms",
-    kind: Kind::Number(10, 600_000),
+    value_type: ValueType::Integer(10, 600_000),
     unit: "ms",
     default: Some("2000"),
-    meaning: "Longest time for a call of the store or of an instance.",
+    description: "Longest time for a call of the store or of an instance.",
 };
 const INSTANCE: Field = Field {
     path: "instances.*",
-    kind: Kind::Address,
+    value_type: ValueType::Address,
     unit: "",
     default: None,
-    meaning: "Address of the operators' port of the instance of that name.",
+    description: "Address of the operators' port of the instance of that name.",
 };
 
 /// Every field of the settings, in the order of the docs.
@@ -45,7 +45,7 @@
 
 /// Settings of the operators' command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Address of the platform's store.
     pub store: Option<SocketAddr>,
     /// Secret of the operators' ports.
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// Names the file, the line, the path of the field and what was expected.
-pub fn load(path: Option<&Path>, overrides: &Overrides) -> Result<Operator> {
+pub fn load(path: Option<&Path>, overrides: &Overrides) -> Result<OperatorSettings> {
     let Some(path) = path else {
         return parse("", "settings", overrides);
     };
@@ -72,12 +72,12 @@
 ///
 /// # Errors
 /// Names the file, the line, the path of the field and what was expected.
-pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<Operator> {
+pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<OperatorSettings> {
     reader::parse(text, file, FIELDS, overrides, read)
 }
 
-fn read(root: &Section<'_>) -> Result<Operator> {
-    Ok(Operator {
+fn read(root: &Section<'_>) -> Result<OperatorSettings> {
+    Ok(OperatorSettings {
         store: root.optional_address(&STORE)?,
         token: root.text(&TOKEN)?,
         timeout_ms: root.number(&TIMEOUT)?,
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        error::{Error, Place, Result},
+        error::{Error, Location, Result},
         reader::FLAG,
     },
     std::collections::BTreeMap,
@@ -24,8 +24,8 @@
     pub fn parse<'a>(flags: impl IntoIterator<Item = &'a str>) -> Result<Self> {
         let mut values = BTreeMap::new();
         for flag in flags {
-            let (path, value) = flag.split_once('=').ok_or_else(|| Error::Invalid {
-                place: Place::Flag,
+            let (path, value) = flag.split_once('=').ok_or_else(|| Error::InvalidValue {
+                location: Location::Flag,
                 path: flag.to_owned(),
                 expected: "path=value".to_owned(),
                 found: format!("{flag:?}"),
@@ -59,8 +59,8 @@
     let below = table.entry(name).or_insert_with(empty);
     match below.get_mut() {
         DeValue::Table(table) => put(table, path, deeper, text),
-        _ => Err(Error::Unknown {
-            place: Place::Flag,
+        _ => Err(Error::UnknownField {
+            location: Location::Flag,
             path: path.to_owned(),
             expected: format!("no field below {key}"),
         }),
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, Kind},
+        field::{Field, ValueType},
         overrides::Overrides,
         reader::{self, Section},
     },
@@ -18,44 +18,44 @@
 
 const NAME: Field = Field {
     path: "name",
-    kind: Kind::Text(1, 200),
+    value_type: ValueType::Text(1, 200),
     unit: "",
     default: None,
-    meaning: "Name of the instance, unique in a deployment.",
+    description: "Name of the instance, unique in a deployment.",
 };
 const DATA_CENTRE: Field = Field {
     path: "data_centre",
-    kind: Kind::Text(1, 200),
+    value_type: ValueType::Text(1, 200),
     unit: "",
     default: None,
-    meaning: "Data centre of the instance.",
+    description: "Data centre of the instance.",
 };
 const STORE: Field = Field {
     path: "store",
-    kind: Kind::Address,
+    value_type: ValueType::Address,
     unit: "",
     default: None,
-    meaning: "Address of the platform's store.",
+    description: "Address of the platform's store.",
 };
 const TOKEN: Field = Field {
     path: "token",
-    kind: Kind::Secret(0, 256),
+    value_type: ValueType::Secret(0, 256),
     unit: "",
     default: Some(""),
-    meaning: "Secret for `/status` and `/events`; without one these are closed.",
+    description: "Secret for `/status` and `/events`; without one these are closed.",
 };
 
 const CPU: Field = Field {
     path: "cpu",
-    kind: Kind::Share,
+    value_type: ValueType::Decimal,
     unit: "cores",
     default: Some("1"),
-    meaning: "Part of a core that the instance has; those with more do more for the others.",
+    description: "Part of a core that the instance has; those with more do more for the others.",
 };
 
 /// Settings of a process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Process {
+pub struct ProcessSettings {
     /// Name of the instance, unique in a deployment.
     pub name: Name,
     /// Data centre of the instance.
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// Names the file, the line, the path of the field and what was expected.
-pub fn load(path: &Path, overrides: &Overrides) -> Result<Process> {
+pub fn load(path: &Path, overrides: &Overrides) -> Result<ProcessSettings> {
     let (file, text) = reader::file(path)?;
     parse(&text, &file, overrides)
 }
@@ -88,12 +88,12 @@
 ///
 /// # Errors
 /// Names the file, the line, the path of the field and what was expected.
-pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<Process> {
+pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<ProcessSettings> {
     reader::parse(text, file, FIELDS, overrides, read)
 }
 
-fn read(root: &Section<'_>) -> Result<Process> {
-    Ok(Process {
+fn read(root: &Section<'_>) -> Result<ProcessSettings> {
+    Ok(ProcessSettings {
         name: root.text(&NAME)?,
         data_centre: root.text(&DATA_CENTRE)?,
         store: root.address(&STORE)?,
--- a/crates/settings/src/process/bounds.rs
+++ b/crates/settings/src/process/bounds.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, Kind},
+        field::{Field, ValueType},
         reader::Section,
     },
     std::time::Duration,
@@ -44,7 +44,7 @@
     /// Time after which a withdrawn data centre gets nothing more.
     pub withdrawal: Duration,
     /// Longest hold of a grant.
-    pub max_hold: Duration,
+    pub max_ttl: Duration,
     /// Repeated sends for each request.
     pub retry_ratio: f64,
     /// Repeated sends of all instances beyond that share.
@@ -70,7 +70,7 @@
         Ok(Self {
             grace: section.time(&GRACE)?,
             withdrawal: section.time(&WITHDRAWAL)?,
-            max_hold: section.time(&MAX_HOLD)?,
+            max_ttl: section.time(&MAX_HOLD)?,
             retry_ratio: section.share(&RETRY_RATIO)?,
             retry_slack: section.share(&RETRY_SLACK)?,
             retry_window: section.time(&RETRY_WINDOW)?,
@@ -78,22 +78,22 @@
     }
 }
 
-const fn time(path: &'static str, default: &'static str, meaning: &'static str) -> Field {
+const fn time(path: &'static str, default: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        kind: Kind::Time,
+        value_type: ValueType::Duration,
         unit: "",
         default: Some(default),
-        meaning,
+        description,
     }
 }
 
-const fn share(path: &'static str, default: &'static str, meaning: &'static str) -> Field {
+const fn share(path: &'static str, default: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        kind: Kind::Share,
+        value_type: ValueType::Decimal,
         unit: "",
         default: Some(default),
-        meaning,
+        description,
     }
 }
--- a/crates/settings/src/process/listen.rs
+++ b/crates/settings/src/process/listen.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, Kind},
+        field::{Field, ValueType},
         reader::Section,
     },
     std::net::SocketAddr,
@@ -51,12 +51,12 @@
     }
 }
 
-const fn field(path: &'static str, meaning: &'static str) -> Field {
+const fn field(path: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        kind: Kind::Address,
+        value_type: ValueType::Address,
         unit: "",
         default: None,
-        meaning,
+        description,
     }
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        error::{Error, Place, Result},
-        field::{Field, Kind},
+        error::{Error, Location, Result},
+        field::{Field, ValueType},
         overrides::Overrides,
     },
     cowslip_adapter::text::duration,
@@ -85,7 +85,7 @@
     /// Parses the text; errors name the line.
     pub fn parse(&self) -> Result<Spanned<DeTable<'a>>> {
         DeTable::parse(self.text).map_err(|error| Error::Syntax {
-            place: self.place(&error.span().unwrap_or(0..0)),
+            location: self.location(&error.span().unwrap_or(0..0)),
             message: error.message().to_owned(),
         })
     }
@@ -102,16 +102,16 @@
         Ok(root)
     }
 
-    fn place(&self, span: &Range<usize>) -> Place {
+    fn location(&self, span: &Range<usize>) -> Location {
         if *span == FLAG {
-            return Place::Flag;
+            return Location::Flag;
         }
         let end = span.start.min(self.text.len());
         let line = 1 + self.text.as_bytes()[..end]
             .iter()
             .filter(|byte| **byte == b'\n')
             .count();
-        Place::Line {
+        Location::Line {
             file: self.file.clone(),
             line,
         }
@@ -122,7 +122,7 @@
     /// Returns the checked value of a field, or its default.
     pub fn number(&self, field: &Field) -> Result<u64> {
         match self.find(field.key()) {
-            Some(found) => found.number(field.kind),
+            Some(found) => found.number(field.value_type),
             None => self.default(field)?.parse().map_err(|_| self.lack(field)),
         }
     }
@@ -130,7 +130,7 @@
     /// Returns the text of a field, or its default.
     pub fn text(&self, field: &Field) -> Result<Name> {
         match self.find(field.key()) {
-            Some(found) => found.text(field.kind),
+            Some(found) => found.text(field.value_type),
             None => Ok(self.default(field)?.into()),
         }
     }
@@ -138,7 +138,7 @@
     /// Returns the address of a field, or its default.
     pub fn address(&self, field: &Field) -> Result<SocketAddr> {
         match self.find(field.key()) {
-            Some(found) => found.address(field.kind),
+            Some(found) => found.address(field.value_type),
             None => self.default(field)?.parse().map_err(|_| self.lack(field)),
         }
     }
@@ -146,7 +146,9 @@
     /// Returns the address of a field; `None` without one.
     pub fn optional_address(&self, field: &Field) -> Result<Option<SocketAddr>> {
         let found = self.find(field.key());
-        found.map(|found| found.address(field.kind)).transpose()
+        found
+            .map(|found| found.address(field.value_type))
+            .transpose()
     }
 
     /// Returns the time of a field, or its default.
@@ -172,7 +174,7 @@
         };
         section
             .entries()
-            .map(|(name, found)| Ok((name.into(), found.address(field.kind)?)))
+            .map(|(name, found)| Ok((name.into(), found.address(field.value_type)?)))
             .collect()
     }
 
@@ -215,8 +217,8 @@
 
     /// Returns the error that a field of this table is absent.
     pub fn missing(&self, key: &str, expected: impl Into<String>) -> Error {
-        Error::Missing {
-            place: self.source.place(&self.span),
+        Error::MissingField {
+            location: self.source.location(&self.span),
             path: join(&self.path, key),
             expected: expected.into(),
         }
@@ -235,7 +237,7 @@
     }
 
     fn lack(&self, field: &Field) -> Error {
-        self.missing(field.key(), field.kind.to_string())
+        self.missing(field.key(), field.value_type.to_string())
     }
 
     fn known(&self) -> Result<()> {
@@ -245,8 +247,8 @@
                 continue;
             }
             let names: Vec<_> = keys.iter().copied().collect();
-            return Err(Error::Unknown {
-                place: self.source.place(&key.span()),
+            return Err(Error::UnknownField {
+                location: self.source.location(&key.span()),
                 path: join(&self.path, key.get_ref()),
                 expected: format!("one of {}", names.join(", ")),
             });
@@ -257,20 +259,22 @@
 
 impl<'a> Found<'a> {
     /// Returns the number within the bounds of `kind`.
-    pub fn number(&self, kind: Kind) -> Result<u64> {
+    pub fn number(&self, kind: ValueType) -> Result<u64> {
         let number = self
             .value
             .get_ref()
             .as_integer()
             .and_then(|digits| u64::from_str_radix(digits.as_str(), digits.radix()).ok());
         match (number, kind) {
-            (Some(number), Kind::Number(low, high)) if (low..=high).contains(&number) => Ok(number),
+            (Some(number), ValueType::Integer(low, high)) if (low..=high).contains(&number) => {
+                Ok(number)
+            }
             _ => Err(self.invalid(kind.to_string())),
         }
     }
 
     /// Returns the text if it is of `kind`.
-    pub fn text(&self, kind: Kind) -> Result<Name> {
+    pub fn text(&self, kind: ValueType) -> Result<Name> {
         let text = self.value.get_ref().as_str();
         text.filter(|text| fits(kind, text))
             .map(Name::from)
@@ -278,7 +282,7 @@
     }
 
     /// Returns the address if it is of `kind`.
-    pub fn address(&self, kind: Kind) -> Result<SocketAddr> {
+    pub fn address(&self, kind: ValueType) -> Result<SocketAddr> {
         let text = self.text(kind)?;
         text.parse().map_err(|_| self.invalid(kind.to_string()))
     }
@@ -287,7 +291,7 @@
     fn time(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
         let time = text.and_then(|text| duration(text).ok());
-        time.ok_or_else(|| self.invalid(Kind::Time.to_string()))
+        time.ok_or_else(|| self.invalid(ValueType::Duration.to_string()))
     }
 
     /// Returns the number, which may stand in a text.
@@ -299,7 +303,7 @@
             _ => None,
         };
         let number = number.filter(|it: &f64| it.is_finite() && *it >= 0.0);
-        number.ok_or_else(|| self.invalid(Kind::Share.to_string()))
+        number.ok_or_else(|| self.invalid(ValueType::Decimal.to_string()))
     }
 
     /// Returns the error that this value is not what was expected.
@@ -308,9 +312,9 @@
     }
 
     /// Returns the error that this value is not of `kind`, without repeating a secret.
-    fn unfit(&self, kind: Kind) -> Error {
+    fn unfit(&self, kind: ValueType) -> Error {
         match (kind, self.value.get_ref().as_str()) {
-            (Kind::Secret(..), Some(text)) => {
+            (ValueType::Secret(..), Some(text)) => {
                 self.error(kind.to_string(), format!("a text of {} bytes", text.len()))
             }
             _ => self.invalid(kind.to_string()),
@@ -318,8 +322,8 @@
     }
 
     fn error(&self, expected: String, found: String) -> Error {
-        Error::Invalid {
-            place: self.source.place(&self.value.span()),
+        Error::InvalidValue {
+            location: self.source.location(&self.value.span()),
             path: self.path.clone(),
             expected,
             found,
@@ -341,11 +345,13 @@
     }
 }
 
-fn fits(kind: Kind, text: &str) -> bool {
+fn fits(kind: ValueType, text: &str) -> bool {
     match kind {
-        Kind::Text(low, high) | Kind::Secret(low, high) => (low..=high).contains(&text.len()),
-        Kind::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
-        Kind::Number(..) | Kind::Time | Kind::Share => false,
+        ValueType::Text(low, high) | ValueType::Secret(low, high) => {
+            (low..=high).contains(&text.len())
+        }
+        ValueType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
+        ValueType::Integer(..) | ValueType::Duration | ValueType::Decimal => false,
     }
 }
 
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -9,7 +9,7 @@
     let (_, section) = PAGE.split_once(heading).expect(heading);
     let section = section.split("\n## ").next().expect("a section");
     let rows: Vec<_> = section.lines().filter(|it| it.starts_with("| `")).collect();
-    let expected: Vec<_> = fields.iter().map(Field::row).collect();
+    let expected: Vec<_> = fields.iter().map(Field::markdown_row).collect();
     assert_eq!(rows, expected);
 }
 
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -4,7 +4,7 @@
     cowslip_settings::{
         error::Error,
         overrides::Overrides,
-        process::{self, Process},
+        process::{self, ProcessSettings},
     },
     std::time::Duration,
 };
@@ -29,7 +29,7 @@
 retry_window = ""
 "#;
 
-fn read(text: &str, flags: &[&str]) -> Result<Process, Error> {
+fn read(text: &str, flags: &[&str]) -> Result<ProcessSettings, Error> {
     let flags = Overrides::parse(flags.iter().copied())?;
     process::parse(text, "entry.toml", &flags)
 }
@@ -52,7 +52,7 @@
     let seconds = Duration::from_secs;
     let bounds = read(GOOD, &[]).expect("good").bounds;
     assert_eq!(
-        (bounds.grace, bounds.max_hold),
+        (bounds.grace, bounds.max_ttl),
         (seconds(7), Duration::from_millis(2500))
     );
     assert_eq!((bounds.retry_ratio, bounds.retry_slack), (0.3, 62.0));
