--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -3,7 +3,11 @@
 use {
     crate::world::{World, booking, lookup, order, request, until},
     bytes::Bytes,
-    cowslip_adapter_standins::{config::config, store, target},
+    cowslip_adapter_standins::{
+        config::build_config,
+        store::StoreMode,
+        target::{FakeTarget, TargetMode},
+    },
     futures_util::future::join_all,
     http::{Request, StatusCode},
     http_body_util::Full,
@@ -66,15 +70,15 @@
     let answer = instance.send(lookup("f", 9)).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     let targets = world.boards.iter().chain(&world.crews);
-    assert_eq!(targets.map(target::Target::total).sum::<u32>(), 1);
+    assert_eq!(targets.map(FakeTarget::total_executions).sum::<u32>(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_without_an_answer_runs_once_and_is_not_called_refused() {
     let world = World::start(1, 2, 2, WORK).await;
     let all = || world.boards.iter().chain(&world.crews);
-    for mood in [target::Mood::Mute, target::Mood::Confused] {
-        all().for_each(|target| target.set_mood(mood));
+    for mood in [TargetMode::DropResponses, TargetMode::WrongRequestId] {
+        all().for_each(|target| target.set_mode(mood));
         for (id, request) in [("o", order("o", 5)), ("b", booking("b"))] {
             let before = world.runs(id);
             let answer = world.instances[0].send(request).await.expect("an answer");
@@ -100,7 +104,7 @@
     drop(world.instances.remove(led.expect("one instance leads")));
     // A target leaves: only a new leader can give its keys to others.
     let gone = world.boards.remove(0);
-    gone.report(&world.store, "draining");
+    gone.publish_report(&world.store, "draining");
     until(|| async {
         let keys = (0..=65_535u64).step_by(499);
         let owned: Vec<usize> = keys.map(|key| world.owners(key)).collect();
@@ -119,11 +123,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_targets_and_withdrawn_data_centres_get_nothing_more() {
     let world = World::start(2, 3, 2, WORK).await;
-    world.crews[1].report(&world.store, "draining");
+    world.crews[1].publish_report(&world.store, "draining");
     world.store.put("op", "evacuate/east", b"{}");
     // The first target of each service is in the east; nothing is left for bookings.
     sleep(Duration::from_millis(2000)).await;
-    let before = world.crews[1].total();
+    let before = world.crews[1].total_executions();
     let answer = world.instances[0]
         .send(booking("late"))
         .await
@@ -131,23 +135,26 @@
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
     assert_eq!(
-        (world.crews[1].total(), world.crews[0].total()),
+        (
+            world.crews[1].total_executions(),
+            world.crews[0].total_executions()
+        ),
         (before, 0)
     );
     until(|| async {
         (0..=65_535u64)
             .step_by(499)
-            .all(|key| !world.boards[0].holds(key))
+            .all(|key| !world.boards[0].has_grant(key))
     })
     .await;
-    let before = world.boards[0].total();
+    let before = world.boards[0].total_executions();
     for key in (0..60_000).step_by(6000) {
         let answer = world.instances[1]
             .send(lookup(&format!("k{key}"), key))
             .await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(world.boards[0].total(), before);
+    assert_eq!(world.boards[0].total_executions(), before);
     world.store.remove("op", "evacuate/east");
     until(|| async {
         let answer = world.instances[0].send(booking("back")).await;
@@ -159,15 +166,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_whose_report_lapsed_is_asked_to_release_its_keys() {
     let world = World::start(2, 3, 2, WORK).await;
-    world.boards[0].vanish(&world.store);
+    world.boards[0].remove_report(&world.store);
     until(|| async {
         let keys = (0..=65_535u64).step_by(499);
         keys.clone()
-            .all(|key| world.owners(key) == 1 && !world.boards[0].holds(key))
+            .all(|key| world.owners(key) == 1 && !world.boards[0].has_grant(key))
     })
     .await;
     // Without the address of its last report only its hold would have run out.
-    assert!(world.boards[0].released() > 0);
+    assert!(world.boards[0].release_count() > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -175,31 +182,34 @@
     let world = World::start(2, 2, 2, WORK).await;
     world
         .store
-        .put("op", "config", config("r12", "crews").as_bytes());
+        .put("op", "config", build_config("r12", "crews").as_bytes());
     for instance in &world.instances {
         until(|| async {
-            let before = world.crews[0].total() + world.crews[1].total();
+            let before = world.crews[0].total_executions() + world.crews[1].total_executions();
             let answer = instance.send(lookup("moved", 1)).await.expect("an answer");
             assert_eq!(answer.status, StatusCode::OK);
-            world.crews[0].total() + world.crews[1].total() > before
+            world.crews[0].total_executions() + world.crews[1].total_executions() > before
         })
         .await;
     }
     world
         .store
-        .put("op", "config", config("r6", "boards").as_bytes());
+        .put("op", "config", build_config("r6", "boards").as_bytes());
     sleep(Duration::from_millis(1500)).await;
-    let before = world.boards[0].total() + world.boards[1].total();
+    let before = world.boards[0].total_executions() + world.boards[1].total_executions();
     for instance in &world.instances {
         instance.send(lookup("stays", 1)).await.expect("an answer");
     }
-    assert_eq!(world.boards[0].total() + world.boards[1].total(), before);
+    assert_eq!(
+        world.boards[0].total_executions() + world.boards[1].total_executions(),
+        before
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_served_while_the_store_is_away() {
     let world = World::start(2, 2, 2, WORK).await;
-    world.store.set_mood(store::Mood::Busy);
+    world.store.set_mode(StoreMode::Unavailable);
     for round in 0..50 {
         for (at, instance) in world.instances.iter().enumerate() {
             let id = format!("s{round}-{at}");
@@ -211,9 +221,9 @@
         }
         sleep(Duration::from_millis(100)).await;
     }
-    world.store.set_mood(store::Mood::Forgetful);
+    world.store.set_mode(StoreMode::DropResponses);
     sleep(Duration::from_millis(2500)).await;
-    world.store.set_mood(store::Mood::Well);
+    world.store.set_mode(StoreMode::Normal);
     world.settle().await;
 }
 
@@ -241,8 +251,12 @@
         "{answers:?}"
     );
     let owner = &world.boards[0];
-    assert_eq!(owner.shed(), 0);
-    assert!(owner.most() <= 3, "{} at once", owner.most());
+    assert_eq!(owner.shed_requests(), 0);
+    assert!(
+        owner.peak_concurrency() <= 3,
+        "{} at once",
+        owner.peak_concurrency()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -253,8 +267,8 @@
     for (request, finished) in [(lookup("g", 7), 0), (order("h", 7), 1)] {
         let left = timeout(Duration::from_millis(300), instance.send(request)).await;
         assert!(left.is_err(), "the work takes longer");
-        until(|| async { target.running() == 0 }).await;
-        assert_eq!(target.finished(), finished);
+        until(|| async { target.in_flight_requests() == 0 }).await;
+        assert_eq!(target.completed_requests(), finished);
     }
     assert_eq!((world.runs("g"), world.runs("h")), (1, 1));
 }
--- a/crates/cowslipcross/tests/instance/world.rs
+++ b/crates/cowslipcross/tests/instance/world.rs
@@ -3,10 +3,10 @@
 use {
     bytes::Bytes,
     cowslip_adapter_standins::{
-        config::config,
+        config::build_config,
         ports,
-        store::Store,
-        target::{Options, Target},
+        store::FakeStore,
+        target::{FakeTarget, TargetOptions},
     },
     http::{HeaderMap, Request, StatusCode},
     http_body_util::{BodyExt, Full},
@@ -57,11 +57,11 @@
 /// A deployment.
 pub struct World {
     /// The platform's store.
-    pub store: Store,
+    pub store: FakeStore,
     /// Targets of the divided service.
-    pub boards: Vec<Target>,
+    pub boards: Vec<FakeTarget>,
     /// Targets of the undivided service.
-    pub crews: Vec<Target>,
+    pub crews: Vec<FakeTarget>,
     /// Instances.
     pub instances: Vec<Instance>,
 }
@@ -84,7 +84,7 @@
 impl Instance {
     /// Starts the program.
     pub fn start(name: &str, store: SocketAddr) -> Self {
-        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::free());
+        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::allocate_address());
         let text = format!(
             "name = \"{name}\"\ndata_centre = \"west\"\nstore = \"{store}\"\ntoken = \"{TOKEN}\"\n\
              [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
@@ -99,7 +99,7 @@
             .arg("--settings")
             .arg(&settings)
             .stdout(File::create(&log).expect("a file for the log"));
-        let child = ports::start(&mut command).expect("the program starts");
+        let child = ports::spawn_process(&mut command).expect("the program starts");
         Self {
             callers,
             readiness,
@@ -114,7 +114,7 @@
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let mut command = Command::new("kill");
-        let sent = ports::start(command.args(["-s", name, &id]));
+        let sent = ports::spawn_process(command.args(["-s", name, &id]));
         let ended = sent.expect("kill starts").wait();
         assert!(ended.is_ok_and(|it| it.success()), "signal {name}");
     }
@@ -161,8 +161,8 @@
 impl World {
     /// Starts a deployment and waits until every instance is ready and every key is served.
     pub async fn start(instances: usize, boards: usize, slots: u32, work: Duration) -> Self {
-        let store = Store::start().await;
-        store.put("op", "config", config("r5", "boards").as_bytes());
+        let store = FakeStore::start().await;
+        store.put("op", "config", build_config("r5", "boards").as_bytes());
         let mut world = Self {
             store,
             boards: Vec::new(),
@@ -171,14 +171,14 @@
         };
         for at in 0..boards {
             let options = options(&format!("b{at}"), "boards", true, slots, work);
-            world.boards.push(Target::start(options).await);
+            world.boards.push(FakeTarget::start(options).await);
         }
         for at in 0..2 {
             let options = options(&format!("c{at}"), "crews", false, slots, work);
-            world.crews.push(Target::start(options).await);
+            world.crews.push(FakeTarget::start(options).await);
         }
         let all = world.boards.iter().chain(&world.crews);
-        all.for_each(|target| target.report(&world.store, "ready"));
+        all.for_each(|target| target.publish_report(&world.store, "ready"));
         for at in 0..instances {
             let instance = Instance::start(&format!("i{at}"), world.store.address());
             world.instances.push(instance);
@@ -201,14 +201,14 @@
     pub fn owners(&self, key: u64) -> usize {
         self.boards
             .iter()
-            .filter(|target| target.holds(key))
+            .filter(|target| target.has_grant(key))
             .count()
     }
 
     /// Returns how often the request with this id ran anywhere.
     pub fn runs(&self, id: &str) -> u32 {
         let all = self.boards.iter().chain(&self.crews);
-        all.map(|target| target.runs(id)).sum()
+        all.map(|target| target.execution_count(id)).sum()
     }
 }
 
@@ -258,15 +258,15 @@
         .expect("a valid request")
 }
 
-fn options(id: &str, service: &str, divided: bool, slots: u32, work: Duration) -> Options {
-    Options {
+fn options(id: &str, service: &str, divided: bool, slots: u32, work: Duration) -> TargetOptions {
+    TargetOptions {
         id: id.into(),
         service: service.into(),
         data_centre: if id.ends_with('0') { "east" } else { "west" }.into(),
-        divided,
+        sharded: divided,
         slots,
-        work,
-        ..Options::default()
+        processing_time: work,
+        ..TargetOptions::default()
     }
 }
 
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -2,8 +2,8 @@
 
 use {
     cowslip_adapter_standins::{
-        config::config,
-        store::{Mood, Store},
+        config::build_config,
+        store::{FakeStore, StoreMode},
     },
     cowslip_decide::names::Incarnation,
     cowslipcross::events::{self, About, Events, Origin},
@@ -65,7 +65,7 @@
 #[tokio::test]
 async fn check_says_what_instances_would_leave_out() {
     let files = Files::new("check");
-    let whole = config("r5", "boards");
+    let whole = build_config("r5", "boards");
     let good = files.write("good.json", &whole.replace("\"nowhere\"", "\"boards\""));
     let (code, out, error) = run(&["check", &good]).await;
     assert_eq!(code, 0, "{error}");
@@ -124,11 +124,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn show_prints_what_is_in_force() {
-    let store = Store::start().await;
+    let store = FakeStore::start().await;
     let set = format!("--set=store={}", store.address());
     let (code, _, error) = run(&["show", &set]).await;
     assert!(code == 1 && error.contains("no configuration"), "{error}");
-    store.put("op", "config", config("r5", "boards").as_bytes());
+    store.put("op", "config", build_config("r5", "boards").as_bytes());
     store.put("op", "evacuate/east", b"{}");
     let (code, out, error) = run(&["show", &set]).await;
     assert_eq!(code, 0, "{error}");
@@ -147,7 +147,7 @@
         (&json["version"], &json["withdrawn"]),
         (&5.into(), &json!(["east"]))
     );
-    store.set_mood(Mood::Busy);
+    store.set_mode(StoreMode::Unavailable);
     let (code, _, error) = run(&["show", &set]).await;
     assert!(code == 4 && error.contains("store unreachable"), "{error}");
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -8,9 +8,9 @@
         proxy::Way,
     },
     cowslip_adapter_standins::{
-        config::config,
-        store::{self, Store},
-        target,
+        config::build_config,
+        store::{FakeStore, StoreMode},
+        target::TargetMode,
     },
     nix::sys::signal::Signal,
     rand::{Rng, rngs::StdRng},
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct World {
     /// The store.
-    pub store: Store,
+    pub store: FakeStore,
     /// Targets.
     pub places: Vec<Mutex<Place>>,
     /// Instances.
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The store treats all calls like this.
-    Store(store::Mood),
+    Store(StoreMode),
     /// One instance's way to the store, or that of all.
     StoreWay(Option<usize>, Way),
     /// The way to a target.
     TargetWay(usize, Way),
     /// A target answers like this.
-    Target(usize, target::Mood),
+    Target(usize, TargetMode),
     /// A target ends and starts again.
     Crash(usize),
     /// A target leaves, and another run of it comes.
@@ -95,16 +95,16 @@
     ][random.random_range(0..5)];
     let whose = random.random_bool(0.6).then_some(instance);
     let mood = [
-        store::Mood::Busy,
-        store::Mood::Forgetful,
-        store::Mood::Late(short),
-        store::Mood::Slow(short / 5),
-        store::Mood::Compacted,
+        StoreMode::Unavailable,
+        StoreMode::DropResponses,
+        StoreMode::DelayWrites(short),
+        StoreMode::DelayCalls(short / 5),
+        StoreMode::CompactedFeed,
     ][random.random_range(0..5)];
     let manner = [
-        target::Mood::Mute,
-        target::Mood::Late(short),
-        target::Mood::Slow(10),
+        TargetMode::DropResponses,
+        TargetMode::DelayCommands(short),
+        TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
         0 => Fault::Store(mood),
@@ -129,9 +129,9 @@
     match fault {
         Fault::Store(mood) => {
             let place = world.history.begin(What::Store);
-            world.store.set_mood(mood);
+            world.store.set_mode(mood);
             sleep(time).await;
-            world.store.set_mood(store::Mood::Well);
+            world.store.set_mode(StoreMode::Normal);
             world.history.end(place);
         }
         Fault::StoreWay(whose, way) => store_way(&world, whose, way, time).await,
@@ -148,7 +148,7 @@
             let noted = world.history.begin(What::Target(place.id.clone()));
             place.set_mood(mood);
             sleep(time).await;
-            place.set_mood(target::Mood::Well);
+            place.set_mood(TargetMode::Normal);
             world.history.end(noted);
         }
         Fault::Crash(at) => crash(&world, at, time).await,
@@ -287,7 +287,7 @@
     if let Some(former) = former {
         world.history.end(former);
     }
-    let text = config(&format!("r{}", 7 * version + 1), service);
+    let text = build_config(&format!("r{}", 7 * version + 1), service);
     world.store.put("op", "config", text.as_bytes());
     let noted = world.history.begin(What::Lookups(service.into()));
     *state = (version + 1, Some(noted));
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -6,9 +6,9 @@
         proxy::{Proxy, Way},
     },
     cowslip_adapter_standins::{
-        store::Store,
-        target::{Mood, Options, Target},
-        watch::Watch,
+        observer::TargetObserver,
+        store::FakeStore,
+        target::{FakeTarget, TargetMode, TargetOptions},
     },
     std::{sync::Arc, time::Duration},
     tokio::time::Instant,
@@ -32,8 +32,8 @@
     pub id: String,
     /// Way to it.
     pub proxy: Proxy,
-    options: Options,
-    target: Option<Target>,
+    options: TargetOptions,
+    target: Option<FakeTarget>,
     since: Instant,
 }
 
@@ -45,21 +45,21 @@
     pub async fn start(
         number: usize,
         service: &str,
-        store: &Store,
-        watch: &Arc<Watch>,
+        store: &FakeStore,
+        watch: &Arc<TargetObserver>,
     ) -> Result<Self> {
         let proxy = Proxy::start(None).await?;
         let id = format!("{service}-{number}");
-        let options = Options {
+        let options = TargetOptions {
             id: id.clone(),
             service: service.into(),
             data_centre: DATA_CENTRES[number % DATA_CENTRES.len()].into(),
-            divided: service == "boards",
-            work: WORK,
-            public: Some(proxy.address),
-            rate: RATES[number % RATES.len()],
-            watch: Some(watch.clone()),
-            ..Options::default()
+            sharded: service == "boards",
+            processing_time: WORK,
+            advertised_address: Some(proxy.address),
+            clock_rate: RATES[number % RATES.len()],
+            observer: Some(watch.clone()),
+            ..TargetOptions::default()
         };
         let mut place = Self {
             id,
@@ -69,31 +69,31 @@
             since: Instant::now(),
         };
         place.come_back(store).await;
-        place.options.cold = COLD;
+        place.options.cold_time = COLD;
         Ok(place)
     }
 
     /// Starts the target anew, unless it runs.
-    pub async fn come_back(&mut self, store: &Store) {
+    pub async fn come_back(&mut self, store: &FakeStore) {
         self.proxy.set(Way::Open);
         if self.target.is_none() {
-            self.options.born += 1;
-            let target = Target::start(self.options.clone()).await;
+            self.options.incarnation += 1;
+            let target = FakeTarget::start(self.options.clone()).await;
             self.proxy.lead_to(Some(target.address()));
             self.target = Some(target);
             self.since = Instant::now();
         }
         if let Some(target) = &self.target {
-            target.set_mood(Mood::Well);
-            target.report(store, "ready");
+            target.set_mode(TargetMode::Normal);
+            target.publish_report(store, "ready");
         }
     }
 
     /// Reports anew for how long the target stays cold, as targets do again and again.
-    pub fn refresh(&self, store: &Store) {
-        let cold = self.since.elapsed() < self.options.cold + 2 * REFRESH;
+    pub fn refresh(&self, store: &FakeStore) {
+        let cold = self.since.elapsed() < self.options.cold_time + 2 * REFRESH;
         if let Some(target) = self.target.as_ref().filter(|_| cold) {
-            target.report(store, "ready");
+            target.publish_report(store, "ready");
         }
     }
 
@@ -105,21 +105,21 @@
     }
 
     /// Takes the target's report out of the store.
-    pub fn lapse(&self, store: &Store) {
+    pub fn lapse(&self, store: &FakeStore) {
         store.remove("servers", &self.id);
     }
 
     /// Lets the target report that it leaves.
-    pub fn leave(&self, store: &Store) {
+    pub fn leave(&self, store: &FakeStore) {
         if let Some(target) = &self.target {
-            target.report(store, "draining");
+            target.publish_report(store, "draining");
         }
     }
 
     /// Sets how the target answers.
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_mood(&self, mood: TargetMode) {
         if let Some(target) = &self.target {
-            target.set_mood(mood);
+            target.set_mode(mood);
         }
     }
 }
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -58,7 +58,7 @@
         store: SocketAddr,
     ) -> Result<Self> {
         let store = Proxy::start(Some(store)).await?;
-        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::free());
+        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::allocate_address());
         let text = format!(
             "name = \"{name}\"\ndata_centre = \"{data_centre}\"\nstore = \"{}\"\n\
              [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
@@ -98,7 +98,7 @@
             .arg(&self.settings)
             .stderr(log.try_clone()?)
             .stdout(log);
-        self.child = Some(ports::start(&mut command)?);
+        self.child = Some(ports::spawn_process(&mut command)?);
         self.since = Instant::now();
         Ok(())
     }
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -5,7 +5,7 @@
         fleet::COLD,
         history::{End, Event, Kind, Record, What},
     },
-    cowslip_adapter_standins::watch::Arrival,
+    cowslip_adapter_standins::observer::Arrival,
     std::{
         collections::{BTreeMap, BTreeSet},
         time::Duration,
@@ -32,10 +32,10 @@
 /// Returns the promises that were broken, each with what shows it.
 pub fn broken(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
-    for arrival in arrivals.iter().filter(|it| it.ran) {
-        *runs.entry(&arrival.request).or_default() += 1;
+    for arrival in arrivals.iter().filter(|it| it.was_executed) {
+        *runs.entry(&arrival.request_id).or_default() += 1;
     }
-    let reached: BTreeSet<&str> = arrivals.iter().map(|it| it.request.as_str()).collect();
+    let reached: BTreeSet<&str> = arrivals.iter().map(|it| it.request_id.as_str()).collect();
     let mut found = requests(record, &runs, &reached);
     found.extend(leaving(record, arrivals));
     found.extend(withdrawn(record, arrivals));
@@ -85,8 +85,8 @@
 fn leaving(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
     let late = record.events.iter().filter_map(|event| match &event.what {
         What::Leave(target) => {
-            let (late, after) = late(record, arrivals, event, DRAIN, |it| it.target == *target)?;
-            let request = &late.request;
+            let (late, after) = late(record, arrivals, event, DRAIN, |it| it.target_id == *target)?;
+            let request = &late.request_id;
             Some(format!("DRAIN: {request} at {target} after {after} ms"))
         }
         _ => None,
@@ -100,7 +100,7 @@
         What::Withdrawn(place) => {
             let inside = |it: &Arrival| it.data_centre == *place;
             let (late, after) = late(record, arrivals, event, WITHDRAWAL, inside)?;
-            let request = &late.request;
+            let request = &late.request_id;
             Some(format!("EVAC: {request} in {place} after {after} ms"))
         }
         _ => None,
@@ -119,11 +119,11 @@
 ) -> Option<(&'a Arrival, u128)> {
     let due = event.from + limit + SLACK;
     let late = arrivals.iter().find(|it| {
-        let inside = it.at > due && event.until.is_none_or(|end| it.at < end);
-        concerned(it) && it.ran && inside
+        let inside = it.arrived_at > due && event.until.is_none_or(|end| it.arrived_at < end);
+        concerned(it) && it.was_executed && inside
     })?;
-    let calm = is_calm(record, event.from, late.at);
-    calm.then(|| (late, (late.at - event.from).as_millis()))
+    let calm = is_calm(record, event.from, late.arrived_at);
+    calm.then(|| (late, (late.arrived_at - event.from).as_millis()))
 }
 
 /// A configuration is in force everywhere within its time, and never goes back.
@@ -131,8 +131,8 @@
     let mut found = Vec::new();
     let at: BTreeMap<&str, &Arrival> = arrivals
         .iter()
-        .filter(|it| it.ran)
-        .map(|it| (it.request.as_str(), it))
+        .filter(|it| it.was_executed)
+        .map(|it| (it.request_id.as_str(), it))
         .collect();
     for event in &record.events {
         let What::Lookups(service) = &event.what else {
@@ -160,9 +160,11 @@
         _ => None,
     });
     let found = colds.filter_map(|(target, from)| {
-        let own = arrivals.iter().filter(|it| it.ran && it.target == *target);
-        let inside = own.filter(|it| it.at >= from && it.at < from + COLD);
-        let mut times: Vec<Instant> = inside.map(|it| it.at).collect();
+        let own = arrivals
+            .iter()
+            .filter(|it| it.was_executed && it.target_id == *target);
+        let inside = own.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD);
+        let mut times: Vec<Instant> = inside.map(|it| it.arrived_at).collect();
         times.sort_unstable();
         let mut spans = times.windows(MOST_COLD + 1);
         let dense = spans.any(|span| span[MOST_COLD] - span[0] < SECOND);
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -64,7 +64,7 @@
     /// # Errors
     /// Fails if its port is taken.
     pub async fn start(upstream: Option<SocketAddr>) -> Result<Self> {
-        let listener = TcpListener::bind(ports::free()).await?;
+        let listener = TcpListener::bind(ports::allocate_address()).await?;
         let address = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
         let (way, seen) = watch::channel(Way::Open);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -10,7 +10,7 @@
         instance::Instance,
         promises,
     },
-    cowslip_adapter_standins::{store::Store, watch::Watch},
+    cowslip_adapter_standins::{observer::TargetObserver, store::FakeStore},
     eyre::bail,
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::{
@@ -72,7 +72,7 @@
 /// # Errors
 /// Fails if processes, ports or files cannot be had, or the deployment does not begin to serve.
 pub async fn run(options: &Options) -> Result<Report> {
-    let watch = Arc::new(Watch::default());
+    let watch = Arc::new(TargetObserver::default());
     let world = Arc::new(begin(options, &watch).await?);
     let mut calls = JoinSet::new();
     let doors = doors(&world).await;
@@ -86,7 +86,7 @@
     let unserved = recover(&doors).await;
     calls.abort_all();
     let record = world.history.all();
-    let mut broken = watch.broken();
+    let mut broken = watch.violations();
     broken.extend(promises::broken(&record, &watch.arrivals()));
     broken.extend(ended);
     broken.extend(unserved);
@@ -97,9 +97,9 @@
     })
 }
 
-async fn begin(options: &Options, watch: &Arc<Watch>) -> Result<World> {
+async fn begin(options: &Options, watch: &Arc<TargetObserver>) -> Result<World> {
     std::fs::create_dir_all(&options.files)?;
-    let store = Store::start().await;
+    let store = FakeStore::start().await;
     let mut places = Vec::new();
     for (service, count) in TARGETS {
         for number in 0..count {
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -1,7 +1,7 @@
 //! Each check of the soak finds what breaks its promise, and lets pass what does not.
 
 use {
-    cowslip_adapter_standins::watch::{Arrival, Watch},
+    cowslip_adapter_standins::observer::{Arrival, TargetObserver},
     cowslip_soak::{
         history::{End, Event, Kind, Record, Sent, What},
         promises::broken,
@@ -27,12 +27,12 @@
 
 fn arrival(start: Instant, at: u64, ran: bool) -> Arrival {
     Arrival {
-        request: "r1".into(),
-        target: "boards-0".into(),
+        request_id: "r1".into(),
+        target_id: "boards-0".into(),
         service: "boards".into(),
         data_centre: "west".into(),
-        at: after(start, at),
-        ran,
+        arrived_at: after(start, at),
+        was_executed: ran,
     }
 }
 
@@ -132,34 +132,34 @@
 
 #[test]
 fn two_owners_and_fences_that_do_not_rise_are_found() {
-    let watch = Watch::default();
+    let watch = TargetObserver::default();
     let now = Instant::now();
     let (a, b) = (("a".to_owned(), 1), ("b".to_owned(), 1));
-    watch.granted(("boards", &a), (0, 99), 5, after(now, 60_000));
-    watch.granted(("boards", &b), (100, 199), 6, after(now, 60_000));
-    assert!(watch.broken().is_empty());
-    watch.granted(("boards", &b), (50, 60), 7, after(now, 60_000));
-    assert!(watch.broken()[0].starts_with("OWNER"));
-    watch.released("boards", &a, (0, 49));
-    watch.granted(("boards", &b), (0, 49), 5, after(now, 60_000));
-    assert!(watch.broken()[1].starts_with("FENCE"));
-    watch.ended("boards", &a);
-    watch.granted(("boards", &b), (61, 99), 8, after(now, 60_000));
-    assert_eq!(watch.broken().len(), 2);
+    watch.record_grant(("boards", &a), (0, 99), 5, after(now, 60_000));
+    watch.record_grant(("boards", &b), (100, 199), 6, after(now, 60_000));
+    assert!(watch.violations().is_empty());
+    watch.record_grant(("boards", &b), (50, 60), 7, after(now, 60_000));
+    assert!(watch.violations()[0].starts_with("OWNER"));
+    watch.record_release("boards", &a, (0, 49));
+    watch.record_grant(("boards", &b), (0, 49), 5, after(now, 60_000));
+    assert!(watch.violations()[1].starts_with("FENCE"));
+    watch.record_end("boards", &a);
+    watch.record_grant(("boards", &b), (61, 99), 8, after(now, 60_000));
+    assert_eq!(watch.violations().len(), 2);
 }
 
 #[test]
 fn the_next_run_of_a_target_takes_an_old_renewal_only_at_first() {
-    let watch = Watch::default();
+    let watch = TargetObserver::default();
     let now = Instant::now();
     let [first, second, third] = [1, 2, 3].map(|born| ("a".to_owned(), born));
-    watch.granted(("boards", &first), (0, 99), 5, after(now, 100));
-    watch.ended("boards", &first);
-    watch.started(second.clone());
-    watch.granted(("boards", &second), (0, 99), 5, after(now, 100));
-    assert!(watch.broken().is_empty());
-    watch.ended("boards", &second);
+    watch.record_grant(("boards", &first), (0, 99), 5, after(now, 100));
+    watch.record_end("boards", &first);
+    watch.record_start(second.clone());
+    watch.record_grant(("boards", &second), (0, 99), 5, after(now, 100));
+    assert!(watch.violations().is_empty());
+    watch.record_end("boards", &second);
     // Its start is not known to be recent.
-    watch.granted(("boards", &third), (0, 99), 5, after(now, 100));
-    assert!(watch.broken()[0].starts_with("FENCE"));
+    watch.record_grant(("boards", &third), (0, 99), 5, after(now, 100));
+    assert!(watch.violations()[0].starts_with("FENCE"));
 }
