--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -3,11 +3,7 @@
 use {
     crate::world::{World, booking, lookup, order, request, until},
     bytes::Bytes,
-    cowslip_adapter_standins::{
-        config::build_config,
-        store::StoreMode,
-        target::{FakeTarget, TargetMode},
-    },
+    cowslip_adapter_standins::{config::build_config, store, target},
     futures_util::future::join_all,
     http::{Request, StatusCode},
     http_body_util::Full,
@@ -70,14 +66,22 @@
     let answer = instance.send(lookup("f", 9)).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     let targets = world.boards.iter().chain(&world.crews);
-    assert_eq!(targets.map(FakeTarget::total_executions).sum::<u32>(), 1);
+    assert_eq!(
+        targets
+            .map(target::FakeTarget::total_executions)
+            .sum::<u32>(),
+        1
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_without_an_answer_runs_once_and_is_not_called_refused() {
     let world = World::start(1, 2, 2, WORK).await;
     let all = || world.boards.iter().chain(&world.crews);
-    for mood in [TargetMode::DropResponses, TargetMode::WrongRequestId] {
+    for mood in [
+        target::TargetMode::DropResponses,
+        target::TargetMode::WrongRequestId,
+    ] {
         all().for_each(|target| target.set_mode(mood));
         for (id, request) in [("o", order("o", 5)), ("b", booking("b"))] {
             let before = world.runs(id);
@@ -209,7 +213,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_served_while_the_store_is_away() {
     let world = World::start(2, 2, 2, WORK).await;
-    world.store.set_mode(StoreMode::Unavailable);
+    world.store.set_mode(store::StoreMode::Unavailable);
     for round in 0..50 {
         for (at, instance) in world.instances.iter().enumerate() {
             let id = format!("s{round}-{at}");
@@ -221,9 +225,9 @@
         }
         sleep(Duration::from_millis(100)).await;
     }
-    world.store.set_mode(StoreMode::DropResponses);
+    world.store.set_mode(store::StoreMode::DropResponses);
     sleep(Duration::from_millis(2500)).await;
-    world.store.set_mode(StoreMode::Normal);
+    world.store.set_mode(store::StoreMode::Normal);
     world.settle().await;
 }
 
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -9,8 +9,8 @@
     },
     cowslip_adapter_standins::{
         config::build_config,
-        store::{FakeStore, StoreMode},
-        target::TargetMode,
+        store::{self, FakeStore},
+        target,
     },
     nix::sys::signal::Signal,
     rand::{Rng, rngs::StdRng},
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The store treats all calls like this.
-    Store(StoreMode),
+    Store(store::StoreMode),
     /// One instance's way to the store, or that of all.
     StoreWay(Option<usize>, Way),
     /// The way to a target.
     TargetWay(usize, Way),
     /// A target answers like this.
-    Target(usize, TargetMode),
+    Target(usize, target::TargetMode),
     /// A target ends and starts again.
     Crash(usize),
     /// A target leaves, and another run of it comes.
@@ -95,16 +95,16 @@
     ][random.random_range(0..5)];
     let whose = random.random_bool(0.6).then_some(instance);
     let mood = [
-        StoreMode::Unavailable,
-        StoreMode::DropResponses,
-        StoreMode::DelayWrites(short),
-        StoreMode::DelayCalls(short / 5),
-        StoreMode::CompactedFeed,
+        store::StoreMode::Unavailable,
+        store::StoreMode::DropResponses,
+        store::StoreMode::DelayWrites(short),
+        store::StoreMode::DelayCalls(short / 5),
+        store::StoreMode::CompactedFeed,
     ][random.random_range(0..5)];
     let manner = [
-        TargetMode::DropResponses,
-        TargetMode::DelayCommands(short),
-        TargetMode::Slowdown(10),
+        target::TargetMode::DropResponses,
+        target::TargetMode::DelayCommands(short),
+        target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
         0 => Fault::Store(mood),
@@ -131,7 +131,7 @@
             let place = world.history.begin(What::Store);
             world.store.set_mode(mood);
             sleep(time).await;
-            world.store.set_mode(StoreMode::Normal);
+            world.store.set_mode(store::StoreMode::Normal);
             world.history.end(place);
         }
         Fault::StoreWay(whose, way) => store_way(&world, whose, way, time).await,
@@ -148,7 +148,7 @@
             let noted = world.history.begin(What::Target(place.id.clone()));
             place.set_mood(mood);
             sleep(time).await;
-            place.set_mood(TargetMode::Normal);
+            place.set_mood(target::TargetMode::Normal);
             world.history.end(noted);
         }
         Fault::Crash(at) => crash(&world, at, time).await,
