--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -79,7 +79,7 @@
     let world = World::start(1, 2, 2, WORK).await;
     let all = || world.boards.iter().chain(&world.crews);
     for mood in [
-        target::TargetMode::DropResponses,
+        target::TargetMode::CloseWithoutResponse,
         target::TargetMode::WrongRequestId,
     ] {
         all().for_each(|target| target.set_mode(mood));
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -102,7 +102,7 @@
         store::StoreMode::CompactedFeed,
     ][random.random_range(0..5)];
     let manner = [
-        target::TargetMode::DropResponses,
+        target::TargetMode::CloseWithoutResponse,
         target::TargetMode::DelayCommands(short),
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
