--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -362,7 +362,7 @@
             return false;
         };
         let owners = self.owners.borrow();
-        let mut divided = config.services.iter().filter(|(_, it)| it.divided);
+        let mut divided = config.services.iter().filter(|(_, it)| it.sharded);
         let owned = divided.all(|(name, _)| owners.contains_key(name));
         owned && self.targets.borrow().known() && self.stopping.get().is_none()
     }
--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -7,8 +7,8 @@
     },
     cowslip_adapter::{
         Error, Result,
-        http::Client,
-        orders::{self, Grant, Granted},
+        commands::{self, Grant, GrantOutcome},
+        http_client::Client,
     },
     cowslip_decide::{
         names::Name,
@@ -81,24 +81,24 @@
         match order {
             Order::Grant { hold, handover, .. } => {
                 let grant = Grant {
-                    first: piece.first,
-                    last: piece.last,
+                    first_key: piece.first,
+                    last_key: piece.last,
                     fence: piece.fence,
-                    hold: *hold,
+                    ttl: *hold,
                     handover: handover.clone(),
                 };
                 let client = clients.grants.lock().await;
                 if !current() {
                     return Err(unsent("no longer leader"));
                 }
-                let granted = orders::grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
+                let granted = commands::send_grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
                 granted.map(of_grant)
             }
             Order::Release { .. } if !current() => Err(unsent("no longer leader")),
             Order::Release { .. } => {
                 let keys = (piece.first, piece.last);
                 let client = &clients.releases;
-                orders::release(client, &owner.id, keys, piece.fence, RELEASE_LIMIT)
+                commands::send_release(client, &owner.id, keys, piece.fence, RELEASE_LIMIT)
                     .await
                     .map(Done::Released)
             }
@@ -117,10 +117,10 @@
     }
 }
 
-fn of_grant(granted: Granted) -> Done {
+fn of_grant(granted: GrantOutcome) -> Done {
     match granted {
-        Granted::Held => Done::Held,
-        Granted::Outdated => Done::Outdated,
+        GrantOutcome::Accepted => Done::Held,
+        GrantOutcome::StaleFence => Done::Outdated,
     }
 }
 
@@ -129,10 +129,12 @@
         // Another target has the address: the owner's process has ended.
         Error::Misdirected => Done::Ended,
         // A target that has as many connections as it may have refuses further ones, too.
-        Error::Refused | Error::NotSent(_) => Done::Unsent,
-        Error::Rejected { status, .. } if orders::is_unrun(*status) => Done::Unsent,
+        Error::ConnectRefused | Error::NotSent(_) => Done::Unsent,
+        Error::Rejected { status, .. } if commands::is_not_executed(*status) => Done::Unsent,
         // A faulty target may answer anything else although it has carried the order out.
-        Error::Rejected { .. } | Error::Unknown(_) | Error::Malformed { .. } => Done::Unknown,
+        Error::Rejected { .. } | Error::OutcomeUnknown(_) | Error::Malformed { .. } => {
+            Done::Unknown
+        }
     }
 }
 
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -253,7 +253,7 @@
 fn divided(context: &Context) -> Vec<Name> {
     let config = context.config.borrow();
     let services = config.iter().flat_map(|config| &config.services);
-    let divided = services.filter(|(_, service)| service.divided);
+    let divided = services.filter(|(_, service)| service.sharded);
     divided.map(|(name, _)| name.clone()).collect()
 }
 
@@ -360,7 +360,9 @@
     if unlisted.is_empty() {
         return Vec::new();
     }
-    let listed = targets.all().map(|it| (it.target.address, it.target.born));
+    let listed = targets
+        .all()
+        .map(|it| (it.target.address, it.target.incarnation));
     let listed: BTreeMap<SocketAddr, u64> = listed.collect();
     let unlisted = unlisted.into_iter().filter(|life| {
         let address = context.address(life);
--- a/crates/cowslipcross/src/lead/record.rs
+++ b/crates/cowslipcross/src/lead/record.rs
@@ -1,7 +1,7 @@
 //! Owners of keys as the store keeps them: a row has a limit, so owners are named once.
 
 use {
-    cowslip_adapter::store::{Put, Row},
+    cowslip_adapter::store::{Row, RowWrite},
     cowslip_decide::{
         names::{Fence, Name},
         owners::{Life, Piece, Table},
@@ -28,20 +28,23 @@
 ///
 /// # Errors
 /// Fails if the owners have no JSON form.
-pub fn rows(service: &str, wire: &WireTable) -> serde_json::Result<Vec<Put>> {
+pub fn rows(service: &str, wire: &WireTable) -> serde_json::Result<Vec<RowWrite>> {
     let value = serde_json::to_vec(wire)?;
     let key = format!("{OWNERS_PREFIX}{service}");
     if value.len() <= LONGEST {
-        return Ok(vec![Put { key, value }]);
+        return Ok(vec![RowWrite { key, value }]);
     }
-    let parts = value.chunks(LONGEST).zip(0..).map(|(part, number)| Put {
-        key: part_key(service, number),
-        value: part.to_vec(),
-    });
-    let mut rows: Vec<Put> = parts.collect();
+    let parts = value
+        .chunks(LONGEST)
+        .zip(0..)
+        .map(|(part, number)| RowWrite {
+            key: part_key(service, number),
+            value: part.to_vec(),
+        });
+    let mut rows: Vec<RowWrite> = parts.collect();
     let parts = WireParts { parts: rows.len() };
     let value = serde_json::to_vec(&parts)?;
-    rows.push(Put { key, value });
+    rows.push(RowWrite { key, value });
     Ok(rows)
 }
 
--- a/crates/cowslipcross/src/lead/record_tests.rs
+++ b/crates/cowslipcross/src/lead/record_tests.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{WireTable, rows},
-    cowslip_adapter::store::{Put, Row},
+    cowslip_adapter::store::{Row, RowWrite},
     cowslip_decide::{
         names::Fence,
         owners::{Life, Table},
@@ -89,7 +89,7 @@
     }
 }
 
-fn row(put: Put) -> Row {
+fn row(put: RowWrite) -> Row {
     Row {
         key: put.key,
         value: Some(put.value),
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -11,7 +11,7 @@
         },
         peers::{datagram, membership, message::Message},
     },
-    cowslip_adapter::store::{Check, Commit, OWN_TABLE, Put, Row, Rows},
+    cowslip_adapter::store::{CommitOutcome, ROUTER_TABLE, Row, RowSet, RowWrite, VersionCheck},
     cowslip_decide::{
         lead::{Mark, Moment, Seat, Step, Turn},
         names::Name,
@@ -209,7 +209,7 @@
 pub async fn refresh(context: &Context) -> bool {
     let _one = context.writing.lock().await;
     let sent = clock::moment();
-    let read = context.rows.rows(OWN_TABLE, LIMIT).await;
+    let read = context.rows.read_table(ROUTER_TABLE, LIMIT).await;
     context.metrics.store_call("owners", read.is_ok());
     context.store_answered(read.is_ok());
     let Ok(rows) = read else {
@@ -225,9 +225,9 @@
 }
 
 /// Takes the leader's row as the store has it.
-fn see(context: &Context, rows: &Rows, sent: Moment) {
+fn see(context: &Context, rows: &RowSet, sent: Moment) {
     let row = rows.rows.iter().find(|row| row.key == SEAT_KEY);
-    let mark = rows.now.map(|store| Mark { store, sent });
+    let mark = rows.store_time.map(|store| Mark { store, sent });
     let value = row.and_then(|row| row.value.as_deref());
     let wire: Option<WireSeat> = value.and_then(|value| serde_json::from_slice(value).ok());
     let own = wire.as_ref().is_some_and(|it| it.run == context.run);
@@ -346,17 +346,24 @@
 }
 
 /// Takes the end of a write of the leader's row.
-fn settle(context: &Context, (said, sent): (Mark, Moment), end: &cowslip_adapter::Result<Commit>) {
+fn settle(
+    context: &Context,
+    (said, sent): (Mark, Moment),
+    end: &cowslip_adapter::Result<CommitOutcome>,
+) {
     match end {
-        Ok(Commit::Done { version, now }) => {
+        Ok(CommitOutcome::Committed {
+            version,
+            store_time: now,
+        }) => {
             let told = now.map_or(said, |store| Mark { store, sent });
             context.lead.borrow_mut().written(said, *version, told);
         }
-        Ok(Commit::Conflict(rows)) => match rows.rows.iter().any(|row| row.key == SEAT_KEY) {
+        Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == SEAT_KEY) {
             true => see(context, rows, sent),
             false => context.lead.borrow_mut().unanswered(),
         },
-        Err(error) if error.may_have_happened() => {
+        Err(error) if error.is_outcome_unknown() => {
             context.note(events::WRITE_UNKNOWN, error.to_string());
             context.lead.borrow_mut().unanswered();
         }
@@ -386,12 +393,12 @@
     context.metrics.store_call("record", end.is_ok());
     settle(context, (said, sent), &end);
     match end {
-        Ok(Commit::Done { version, .. }) => {
+        Ok(CommitOutcome::Committed { version, .. }) => {
             took_effect(context, service, (before, version), table);
             Recorded::Done
         }
-        Ok(Commit::Conflict(_)) => Recorded::Unknown,
-        Err(error) if error.may_have_happened() => Recorded::Unknown,
+        Ok(CommitOutcome::Conflict(_)) => Recorded::Unknown,
+        Err(error) if error.is_outcome_unknown() => Recorded::Unknown,
         Err(_) => Recorded::Refused,
     }
 }
@@ -446,8 +453,8 @@
     }
 }
 
-fn check(key: &str, version: u64) -> Check {
-    Check {
+fn check(key: &str, version: u64) -> VersionCheck {
+    VersionCheck {
         key: key.into(),
         version,
     }
@@ -461,7 +468,7 @@
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
 /// grants is in force any more, if it knows.
-fn seat(context: &Context, said: Mark, given_up: Option<Option<Duration>>) -> Put {
+fn seat(context: &Context, said: Mark, given_up: Option<Option<Duration>>) -> RowWrite {
     let wire = WireSeat {
         name: context.settings.name.clone(),
         run: match given_up {
@@ -472,7 +479,7 @@
         heartbeats: context.settings.listen.heartbeats,
         told: Some(said.store.as_millis() as u64),
     };
-    Put {
+    RowWrite {
         key: SEAT_KEY.into(),
         // A struct of texts always has a JSON form.
         value: serde_json::to_vec(&wire).unwrap_or_default(),
--- a/crates/cowslipcross/src/lead/standing.rs
+++ b/crates/cowslipcross/src/lead/standing.rs
@@ -26,7 +26,7 @@
     let standing = |seen: &Seen| {
         let target = &seen.target;
         let standing = Standing {
-            born: target.born,
+            born: target.incarnation,
             open: seen.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
             cold: seen.is_cold(now),
         };
--- a/crates/cowslipcross/src/main.rs
+++ b/crates/cowslipcross/src/main.rs
@@ -2,7 +2,7 @@
 
 use {
     clap::{Arg, ArgAction, Command, value_parser},
-    cowslip_adapter::places,
+    cowslip_adapter::paths,
     cowslip_settings::overrides::Overrides,
     cowslipcross::instance,
     eyre::Result,
@@ -32,7 +32,7 @@
     let flags = matches.get_many::<String>("set").unwrap_or_default();
     let overrides = Overrides::parse(flags.map(String::as_str))?;
     let path = matches.get_one::<PathBuf>("settings").cloned();
-    instance::run(path.unwrap_or_else(places::settings_path), overrides)
+    instance::run(path.unwrap_or_else(paths::settings_path), overrides)
 }
 
 fn command() -> Command {
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -103,8 +103,8 @@
 
     /// Counts an answer to a caller.
     pub fn answered(&self, route: &Route, answer: &Answer, time: Duration) {
-        let rank = route.rank.to_string();
-        let kind = match route.repeatable {
+        let rank = route.priority.to_string();
+        let kind = match route.idempotent {
             true => "repeatable",
             false => "once",
         };
--- a/crates/cowslipcross/src/ports.rs
+++ b/crates/cowslipcross/src/ports.rs
@@ -7,7 +7,7 @@
         status::Status,
     },
     bytes::Bytes,
-    cowslip_adapter::places::READY_PATH,
+    cowslip_adapter::paths::READINESS_PATH,
     http::{HeaderMap, Request, Response, StatusCode, header},
     http_body_util::Full,
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
@@ -35,8 +35,8 @@
 /// Answers whether the instance is ready.
 pub async fn readiness(context: Rc<Context>, listener: TcpListener) {
     serve(listener, move |request| match request.uri().path() {
-        READY_PATH if context.ready() => plain(StatusCode::OK, "ready"),
-        READY_PATH => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        READINESS_PATH if context.ready() => plain(StatusCode::OK, "ready"),
+        READINESS_PATH => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         _ => plain(StatusCode::NOT_FOUND, "no such page"),
     })
     .await;
--- a/crates/cowslipcross/src/serve/answer.rs
+++ b/crates/cowslipcross/src/serve/answer.rs
@@ -77,7 +77,7 @@
 pub fn bad(bad: &BadRequest) -> Response<Body> {
     let mut response = plain(bad.status(), bad.text());
     if *bad == BadRequest::NoConfig {
-        let wait = headers::retry_after(Duration::from_millis(300));
+        let wait = headers::format_retry_after(Duration::from_millis(300));
         response.headers_mut().insert(header::RETRY_AFTER, wait);
     }
     response
@@ -94,7 +94,7 @@
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.as_str());
     let spread = 0.8 + 0.4 * rand::random::<f64>();
     let wait = refusal.wait.mul_f64(spread).min(left.mul_f64(FOLLOWED));
-    let wait = headers::retry_after(wait);
+    let wait = headers::format_retry_after(wait);
     response.headers_mut().insert(header::RETRY_AFTER, wait);
     response
 }
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -55,7 +55,7 @@
     let targets = context.targets.borrow().clone();
     match request.key {
         Some(key) => owner(context, request, (&targets, key), now),
-        None if service.divided => Choice::Refuse(LOOK),
+        None if service.sharded => Choice::Refuse(LOOK),
         None => Choice::Any,
     }
 }
@@ -80,7 +80,7 @@
     };
     let Some(seen) = targets
         .get(&life.id)
-        .filter(|it| it.target.born == life.born)
+        .filter(|it| it.target.incarnation == life.born)
     else {
         return Choice::Wait(LOOK);
     };
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -154,7 +154,7 @@
         }
         end
     };
-    if request.route.repeatable {
+    if request.route.idempotent {
         return run.await;
     }
     let ended = spawn_local(run).await;
@@ -179,7 +179,7 @@
     let service = config
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
-    let all = service.map_or(1, |it| it.connections.min(10_000) as u32);
+    let all = service.map_or(1, |it| it.max_connections.min(10_000) as u32);
     (all / context.instances.get().max(1)).max(2)
 }
 
@@ -200,9 +200,9 @@
     }
     note_end(context, request, target, &end, seen);
     let kind = Kind {
-        repeatable: request.route.repeatable,
+        repeatable: request.route.idempotent,
         keyed: request.key.is_some(),
-        attempts: request.route.attempts,
+        attempts: request.route.max_attempts,
     };
     let next = course.ended(kind, target, seen, || context.may_repeat(&request.service));
     match (next, end) {
--- a/crates/cowslipcross/src/serve/entry.rs
+++ b/crates/cowslipcross/src/serve/entry.rs
@@ -97,8 +97,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle_time)
-        .max_buf_size(limits.head_bytes.max(LEAST_HEAD))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.header_bytes.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let mut closing = pin!(close.wait_for(|close| *close));
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -7,7 +7,7 @@
         request::Request,
     },
     bytes::Bytes,
-    cowslip_adapter::headers::{self, Signs},
+    cowslip_adapter::headers::{self, ResponseMetadata},
     cowslip_decide::names::Name,
     http::{HeaderMap, HeaderValue, Response, StatusCode, header},
     http_body_util::{BodyExt, Full, Limited},
@@ -42,7 +42,7 @@
     /// The target answered.
     Whole(Whole),
     /// The target says that it did not run the request.
-    Unrun(Signs),
+    Unrun(ResponseMetadata),
     /// No byte left: there was no connection.
     Unsent(NoLink),
     /// Bytes may have left, and no whole answer came.
@@ -68,7 +68,7 @@
 /// Sends a request to a target and waits for its whole answer.
 pub async fn run(line: Rc<Line>, target: Name, request: Rc<Request>, most: u32) -> End {
     let _running = Counted::new(&line.running);
-    let last = match request.route.repeatable {
+    let last = match request.route.idempotent {
         true => request.deadline,
         false => request.deadline + LAST_WORD,
     };
@@ -116,7 +116,10 @@
         headers::DEADLINE,
         HeaderValue::from(left.as_millis() as u64),
     );
-    headers.insert(headers::ONLY_TARGET, HeaderValue::from_str(target).ok()?);
+    headers.insert(
+        headers::REQUIRED_TARGET,
+        HeaderValue::from_str(target).ok()?,
+    );
     if !request.body.is_empty() {
         headers.insert(
             header::CONTENT_LENGTH,
@@ -141,8 +144,8 @@
             };
         }
     };
-    let signs = headers::signs(answer.status(), answer.headers());
-    if !headers::belongs(answer.headers(), &request.id) && !signs.unrun {
+    let signs = headers::parse_response_head(answer.status(), answer.headers());
+    if !headers::has_request_id(answer.headers(), &request.id) && !signs.not_executed {
         return Some(End::Broken("answer to another request"));
     }
     if let Some(load) = signs.load {
@@ -150,18 +153,18 @@
     }
     let whole = whole(answer).await;
     let Some(whole) = whole else {
-        return Some(match signs.unrun {
+        return Some(match signs.not_executed {
             true => End::Unrun(signs),
             false => End::Broken("answer ended early"),
         });
     };
     if let Some(link) = used.link.take() {
-        match signs.closes {
+        match signs.closes_connection {
             true => used.line.closed(),
-            false => used.line.keep(link, signs.keep),
+            false => used.line.keep(link, signs.keep_alive),
         }
     }
-    if signs.unrun {
+    if signs.not_executed {
         return Some(End::Unrun(signs));
     }
     if whole.status.is_success() && !signs.signed {
@@ -174,7 +177,7 @@
 async fn whole(answer: Response<Incoming>) -> Option<Whole> {
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, LONGEST_ANSWER).collect().await.ok()?;
-    let mut headers = headers::end_to_end(&head.headers);
+    let mut headers = headers::copy_end_to_end(&head.headers);
     headers.remove(header::CONTENT_LENGTH);
     Some(Whole {
         status: head.status,
--- a/crates/cowslipcross/src/serve/line.rs
+++ b/crates/cowslipcross/src/serve/line.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::serve::exchange::Body,
-    cowslip_adapter::{headers::Load, targets::Target},
+    cowslip_adapter::{headers::Load, targets::TargetReport},
     cowslip_decide::{pace::Pace, share::Tokens},
     hyper::client::conn::http1::{self, SendRequest},
     hyper_util::rt::TokioIo,
@@ -79,10 +79,10 @@
 
 impl Line {
     /// Creates a line without connections.
-    pub fn new(target: &Target, now: Instant) -> Self {
+    pub fn new(target: &TargetReport, now: Instant) -> Self {
         Self {
             address: target.address,
-            born: target.born,
+            born: target.incarnation,
             running: Cell::new(0),
             load: Cell::new(None),
             pace: Cell::default(),
@@ -94,8 +94,8 @@
     }
 
     /// Returns whether it leads to this run of the target.
-    pub fn is_to(&self, target: &Target) -> bool {
-        self.address == target.address && self.born == target.born
+    pub fn is_to(&self, target: &TargetReport) -> bool {
+        self.address == target.address && self.born == target.incarnation
     }
 
     /// Returns whether the target took no connection of late.
@@ -157,7 +157,7 @@
     /// Returns how slow the target's last answer told it to be; 1 is as usual.
     pub fn slowness(&self) -> Option<f64> {
         let (load, _) = self.load.get()?;
-        Some(f64::from(load.slowness) / 100.0)
+        Some(f64::from(load.slowdown_percent) / 100.0)
     }
 
     /// Takes the time of an answer.
--- a/crates/cowslipcross/src/serve/permit.rs
+++ b/crates/cowslipcross/src/serve/permit.rs
@@ -174,9 +174,9 @@
         number,
         service: pool.0.clone(),
         target: pool.1.clone(),
-        rank: request.route.rank,
+        rank: request.route.priority,
         left: left(request.deadline),
-        goal: left(request.arrived + request.route.goal),
+        goal: left(request.arrived + request.route.latency_goal),
         data_centre: context.settings.data_centre.clone(),
         tried: tried.to_vec(),
     }
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -102,8 +102,8 @@
     let id = id.ok_or(BadRequest::NoId)?;
     let deadline = arrived + patience(&parts.headers, &route)?;
     let service = service(context, &route).ok_or(BadRequest::NoRoute)?;
-    let divided = config.services.get(&service).is_some_and(|it| it.divided);
-    let key = headers::key(&parts.headers).map_err(BadRequest::Key)?;
+    let divided = config.services.get(&service).is_some_and(|it| it.sharded);
+    let key = headers::parse_shard_key(&parts.headers).map_err(BadRequest::Key)?;
     if divided && key.is_none() {
         return Err(BadRequest::Key(String::new()));
     }
@@ -124,14 +124,14 @@
 }
 
 fn find(context: &Context, parts: &Parts) -> Option<Rc<Route>> {
-    let named = headers::text(&parts.headers, &header::HOST);
+    let named = headers::get_str(&parts.headers, &header::HOST);
     let host = named.or_else(|| parts.uri.host())?;
     context.routes.borrow().find(host, parts.uri.path())
 }
 
 /// Returns the time that the caller waits, at most that of the route.
 fn patience(all: &HeaderMap, route: &Route) -> Result<Duration, BadRequest> {
-    let Some(text) = headers::text(all, &headers::DEADLINE) else {
+    let Some(text) = headers::get_str(all, &headers::DEADLINE) else {
         return Ok(route.timeout);
     };
     let millis: u64 = text.trim().parse().map_err(|_| BadRequest::Deadline)?;
@@ -140,15 +140,15 @@
 
 /// Chooses the service of the next request on a route, by weight.
 fn service(context: &Context, route: &Route) -> Option<Name> {
-    if let [(only, _)] = route.split.as_slice() {
+    if let [(only, _)] = route.traffic_split.as_slice() {
         return Some(only.clone());
     }
     let mut dealers = context.dealers.borrow_mut();
     let dealer = dealers
         .entry(route.name.clone())
         .or_insert_with(|| cowslip_decide::split::Dealer::new(rand::random()));
-    let at = dealer.deal(route.split.iter().map(|(_, weight)| *weight))?;
-    Some(route.split[at].0.clone())
+    let at = dealer.deal(route.traffic_split.iter().map(|(_, weight)| *weight))?;
+    Some(route.traffic_split[at].0.clone())
 }
 
 async fn whole(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, BadRequest> {
@@ -162,9 +162,9 @@
 
 /// Returns the headers that go on to the target; the length is set anew with the whole body.
 fn passed_on(all: &HeaderMap) -> HeaderMap {
-    let mut passed = headers::end_to_end(all);
+    let mut passed = headers::copy_end_to_end(all);
     passed.remove(header::CONTENT_LENGTH);
     passed.remove(header::EXPECT);
-    passed.remove(&headers::ONLY_TARGET);
+    passed.remove(&headers::REQUIRED_TARGET);
     passed
 }
--- a/crates/cowslipcross/src/serve/route.rs
+++ b/crates/cowslipcross/src/serve/route.rs
@@ -20,7 +20,7 @@
             routes.push(Rc::new(route.clone()));
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         Self { hosts }
     }
@@ -31,7 +31,9 @@
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(name.to_ascii_lowercase().as_str())?;
-        let found = routes.iter().find(|route| path.starts_with(&*route.prefix));
+        let found = routes
+            .iter()
+            .find(|route| path.starts_with(&*route.path_prefix));
         found.cloned()
     }
 }
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -51,12 +51,14 @@
 /// Waits for changes after a version; returns the next one, or `None` to read everything.
 async fn next(context: &Context, version: u64) -> Result<Option<u64>, Error> {
     let wait = if context.is_led() { LED_WAIT } else { WAIT };
-    let changes = context.feed.changes(OPERATOR_TABLE, version, wait, LIMIT);
+    let changes = context
+        .feed
+        .read_changes(OPERATOR_TABLE, version, wait, LIMIT);
     let Some(rows) = changes.await? else {
         return Ok(None);
     };
     rows.rows.iter().for_each(|row| apply(context, row));
-    Ok(Some(rows.version.max(version)))
+    Ok(Some(rows.store_version.max(version)))
 }
 
 /// Returns when the call that waits has missed a change, or nobody would tell of one any more.
@@ -77,8 +79,8 @@
 
 /// Reads all of the operators' rows; what is not there any more is taken back.
 async fn whole(context: &Context) -> Result<u64, Error> {
-    let rows = context.feed.rows(OPERATOR_TABLE, LIMIT).await?;
-    let named = |row: &Row| match OperatorRow::of(&row.key) {
+    let rows = context.feed.read_table(OPERATOR_TABLE, LIMIT).await?;
+    let named = |row: &Row| match OperatorRow::from_key(&row.key) {
         OperatorRow::Withdrawn(data_centre) => Some(Name::from(data_centre)),
         _ => None,
     };
@@ -88,13 +90,13 @@
         restore(context, data_centre);
     }
     rows.rows.iter().for_each(|row| apply(context, row));
-    Ok(rows.version)
+    Ok(rows.store_version)
 }
 
 fn apply(context: &Context, row: &Row) {
     let last = context.config_change.get();
     context.config_change.set(last.max(row.version));
-    match (OperatorRow::of(&row.key), &row.value) {
+    match (OperatorRow::from_key(&row.key), &row.value) {
         (OperatorRow::Config, Some(body)) => configure(context, body),
         (OperatorRow::Withdrawn(data_centre), Some(_)) => withdraw(context, data_centre.into()),
         (OperatorRow::Withdrawn(data_centre), None) => restore(context, &data_centre.into()),
@@ -112,7 +114,7 @@
     if known.is_some_and(|known| known >= config.version) {
         return;
     }
-    for error in &config.skipped {
+    for error in &config.decode_errors {
         let detail = format!("version {}: left out: {error}", config.version);
         context.note(events::CONFIG_REFUSED, detail);
     }
--- a/crates/cowslipcross/src/views/news.rs
+++ b/crates/cowslipcross/src/views/news.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{context::Context, views::seen::Targets},
-    cowslip_adapter::targets::Target,
+    cowslip_adapter::targets::TargetReport,
     cowslip_decide::names::Name,
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
@@ -18,7 +18,7 @@
 const MOST: usize = 120;
 
 /// Targets that changed of late; a target that is gone has no report.
-pub type Changes = BTreeMap<Name, Option<Target>>;
+pub type Changes = BTreeMap<Name, Option<TargetReport>>;
 
 /// The last changes that this instance has read, the earliest first.
 #[derive(Debug, Default)]
@@ -56,33 +56,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireTarget(Name, SocketAddr, Name, u64, bool, u64, u64);
 
-impl From<&Target> for WireTarget {
-    fn from(target: &Target) -> Self {
+impl From<&TargetReport> for WireTarget {
+    fn from(target: &TargetReport) -> Self {
         Self(
             target.service.clone(),
             target.address,
             target.data_centre.clone(),
             target.slots,
-            target.leaving,
-            target.cold.as_millis() as u64,
-            target.born,
+            target.draining,
+            target.cold_remaining.as_millis() as u64,
+            target.incarnation,
         )
     }
 }
 
 impl WireTarget {
     /// Returns the target with this id.
-    fn target(self, id: Name) -> Target {
+    fn target(self, id: Name) -> TargetReport {
         let Self(service, address, data_centre, slots, leaving, cold, born) = self;
-        Target {
+        TargetReport {
             id,
             service,
             address,
             data_centre,
             slots,
-            leaving,
-            cold: Duration::from_millis(cold),
-            born,
+            draining: leaving,
+            cold_remaining: Duration::from_millis(cold),
+            incarnation: born,
         }
     }
 }
--- a/crates/cowslipcross/src/views/news_tests.rs
+++ b/crates/cowslipcross/src/views/news_tests.rs
@@ -3,7 +3,7 @@
 use {
     super::{News, WireNews},
     crate::views::seen::{Heard, Targets},
-    cowslip_adapter::targets::Target,
+    cowslip_adapter::targets::TargetReport,
     std::{net::SocketAddr, time::Duration},
     tokio::time::Instant,
 };
@@ -12,16 +12,16 @@
     Duration::from_millis(count)
 }
 
-fn target(id: &str, leaving: bool, cold: u64) -> Target {
-    Target {
+fn target(id: &str, leaving: bool, cold: u64) -> TargetReport {
+    TargetReport {
         id: id.into(),
         service: "boards".into(),
         address: SocketAddr::from(([10, 1, 0, 1], 8500)),
         data_centre: "west".into(),
         slots: 2,
-        leaving,
-        cold: millis(cold),
-        born: 1,
+        draining: leaving,
+        cold_remaining: millis(cold),
+        incarnation: 1,
     }
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    fn read(&mut self, reports: &[Target], version: u64, now: Instant) {
+    fn read(&mut self, reports: &[TargetReport], version: u64, now: Instant) {
         let before = self.view.changed();
         let (next, changes) = self.view.next(reports.to_vec(), version, (now, now));
         if !changes.is_empty() {
@@ -55,7 +55,7 @@
     }
 }
 
-fn read(reports: &[Target], version: u64, now: Instant) -> Targets {
+fn read(reports: &[TargetReport], version: u64, now: Instant) -> Targets {
     let (view, _) = Targets::empty().next(reports.to_vec(), version, (now, now));
     view
 }
@@ -172,7 +172,7 @@
     let mut leader = Leader::new();
     leader.read(&[target("a", false, 0)], 9, start);
     let follower = read(&[target("a", false, 0)], 12, start);
-    let many: Vec<Target> = (0..200)
+    let many: Vec<TargetReport> = (0..200)
         .map(|it| target(&format!("t{it}"), false, 0))
         .collect();
     leader.read(&many, 40, start + millis(600));
--- a/crates/cowslipcross/src/views/seen.rs
+++ b/crates/cowslipcross/src/views/seen.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::views::news::{Changes, WireNews},
-    cowslip_adapter::targets::Target,
+    cowslip_adapter::targets::TargetReport,
     cowslip_decide::{names::Name, owners::Life},
     std::{collections::BTreeMap, rc::Rc, time::Duration},
     tokio::time::Instant,
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Seen {
     /// What it reports.
-    pub target: Rc<Target>,
+    pub target: Rc<TargetReport>,
     /// Since when it is known to leave.
     pub leaving: Option<Instant>,
     /// Until when it is cold.
@@ -106,7 +106,7 @@
     /// missing target is kept.
     pub fn next(
         &self,
-        reports: Vec<Target>,
+        reports: Vec<TargetReport>,
         version: u64,
         (sent, now): (Instant, Instant),
     ) -> (Self, Changes) {
@@ -116,7 +116,7 @@
             false => self.lenient.filter(|until| *until > now),
         };
         let reports = reports.into_iter().map(|it| (it.id.clone(), it));
-        let reports: BTreeMap<Name, Target> = reports.collect();
+        let reports: BTreeMap<Name, TargetReport> = reports.collect();
         let gone = self.seen.keys().filter(|id| !reports.contains_key(*id));
         let gone = gone.filter(|_| lenient.is_none());
         let mut changes: Changes = gone.map(|id| (id.clone(), None)).collect();
@@ -181,25 +181,25 @@
     }
 
     /// Returns whether a report says something else than what is known.
-    fn differs(&self, report: &Target, now: Instant) -> bool {
+    fn differs(&self, report: &TargetReport, now: Instant) -> bool {
         let Some(seen) = self.seen.get(&report.id) else {
             return true;
         };
-        let known = Target {
-            cold: report.cold,
+        let known = TargetReport {
+            cold_remaining: report.cold_remaining,
             ..(*seen.target).clone()
         };
         let until = seen.cold.unwrap_or(now).max(now);
-        known != *report || now + report.cold > until + COLDER
+        known != *report || now + report.cold_remaining > until + COLDER
     }
 }
 
 impl Seen {
-    fn new(target: Target, before: Option<&Self>, now: Instant) -> Self {
-        let before = before.filter(|it| it.target.born == target.born);
+    fn new(target: TargetReport, before: Option<&Self>, now: Instant) -> Self {
+        let before = before.filter(|it| it.target.incarnation == target.incarnation);
         let known = before.and_then(|it| it.leaving);
-        let leaving = target.leaving.then(|| known.unwrap_or(now));
-        let cold = (target.cold > Duration::ZERO).then(|| now + target.cold);
+        let leaving = target.draining.then(|| known.unwrap_or(now));
+        let cold = (target.cold_remaining > Duration::ZERO).then(|| now + target.cold_remaining);
         Self {
             leaving,
             cold,
@@ -212,7 +212,7 @@
     pub fn life(&self) -> Life {
         Life {
             id: self.target.id.clone(),
-            born: self.target.born,
+            born: self.target.incarnation,
         }
     }
 
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -11,8 +11,8 @@
         },
     },
     cowslip_adapter::{
-        store::{Rows, TARGET_TABLE},
-        targets::Target,
+        store::{RowSet, TARGET_TABLE},
+        targets::TargetReport,
     },
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, sleep_until},
@@ -31,7 +31,7 @@
     loop {
         due(&context).await;
         let sent = Instant::now();
-        let read = context.lists.rows(TARGET_TABLE, LIMIT).await;
+        let read = context.lists.read_table(TARGET_TABLE, LIMIT).await;
         health.note(&context, "targets", read.as_ref().err());
         match read {
             Ok(rows) => take(&context, &rows, sent),
@@ -60,11 +60,11 @@
 }
 
 /// Takes a read of the store.
-fn take(context: &Context, rows: &Rows, sent: Instant) {
+fn take(context: &Context, rows: &RowSet, sent: Instant) {
     let mut reports = Vec::with_capacity(rows.rows.len());
-    let mut bad = rows.unreadable;
+    let mut bad = rows.unreadable_rows;
     for row in &rows.rows {
-        match Target::try_from(row) {
+        match TargetReport::try_from(row) {
             Ok(target) => reports.push(target),
             Err(error) => {
                 bad += 1;
@@ -75,7 +75,7 @@
     context.metrics.reports(reports.len(), bad);
     let before = context.targets.borrow().clone();
     let now = Instant::now();
-    let (next, changes) = before.next(reports, rows.version, (sent, now));
+    let (next, changes) = before.next(reports, rows.store_version, (sent, now));
     if !changes.is_empty() {
         let mut news = context.news.borrow_mut();
         news.add((before.changed(), next.changed()), changes);
@@ -121,14 +121,14 @@
     for seen in next.all() {
         let target = &seen.target;
         let known = before.get(&target.id);
-        let known = known.filter(|it| it.target.born == target.born);
+        let known = known.filter(|it| it.target.incarnation == target.incarnation);
         if known.is_none() {
             let detail = format!(
                 "service {}, {}, data centre {}, cold for {} ms",
                 target.service,
                 target.address,
                 target.data_centre,
-                target.cold.as_millis()
+                target.cold_remaining.as_millis()
             );
             note(events::TARGET_FOUND, seen, detail);
         }
--- a/crates/cowslipctl/src/check.rs
+++ b/crates/cowslipctl/src/check.rs
@@ -22,7 +22,11 @@
         cause,
     })?;
     let config = decoded(&text, &name)?;
-    let causes: Vec<String> = config.skipped.iter().map(ToString::to_string).collect();
+    let causes: Vec<String> = config
+        .decode_errors
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     if !causes.is_empty() {
         let causes = causes.join("\n  ");
         return Err(Error::Refused(format!("{name}: left out:\n  {causes}")));
@@ -39,7 +43,7 @@
     let lacking = || Error::Lacking("settings: store: missing, expected an address".to_owned());
     let address = settings.store.ok_or_else(lacking)?;
     let limit = Duration::from_millis(settings.timeout_ms);
-    let rows = Store::new(address).rows(OPERATOR_TABLE, limit).await;
+    let rows = Store::new(address).read_table(OPERATOR_TABLE, limit).await;
     let rows = rows.map_err(|error| Error::Unreachable(error.to_string()))?;
     let body = rows.rows.iter().find_map(configuration);
     let body =
@@ -52,7 +56,7 @@
     };
     let mut text = format!("{}\nwithdrawn data centres: {names}\n", counts(&config));
     for route in &config.routes {
-        let split = route.split.iter();
+        let split = route.traffic_split.iter();
         let split: Vec<String> = split
             .map(|(name, weight)| format!("{name}:{weight}"))
             .collect();
@@ -60,13 +64,13 @@
             "route {} {}{} rank {} timeout {} ms to {}\n",
             route.name,
             route.host,
-            route.prefix,
-            route.rank,
+            route.path_prefix,
+            route.priority,
             route.timeout.as_millis(),
             split.join(" "),
         );
     }
-    for error in &config.skipped {
+    for error in &config.decode_errors {
         text += &format!("left out: {error}\n");
     }
     let mut json = summary(&config);
@@ -79,14 +83,14 @@
 }
 
 fn configuration(row: &Row) -> Option<&[u8]> {
-    match OperatorRow::of(&row.key) {
+    match OperatorRow::from_key(&row.key) {
         OperatorRow::Config => row.value.as_deref(),
         _ => None,
     }
 }
 
 fn withdrawn(row: &Row) -> Option<String> {
-    match OperatorRow::of(&row.key) {
+    match OperatorRow::from_key(&row.key) {
         OperatorRow::Withdrawn(data_centre) => row.value.as_ref().map(|_| data_centre),
         _ => None,
     }
@@ -99,7 +103,7 @@
 }
 
 fn summary(config: &Config) -> Value {
-    let skipped = config.skipped.iter().map(ToString::to_string);
+    let skipped = config.decode_errors.iter().map(ToString::to_string);
     json!({
         "version": config.version,
         "routes": config.routes.len(),
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -6,7 +6,7 @@
         field::{Field, Kind},
         overrides::Overrides,
     },
-    cowslip_adapter::text::duration,
+    cowslip_adapter::text::parse_duration,
     cowslip_decide::names::Name,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -153,7 +153,7 @@
     pub fn time(&self, field: &Field) -> Result<Duration> {
         match self.filled(field) {
             Some(found) => found.time(),
-            None => duration(self.default(field)?).map_err(|_| self.lack(field)),
+            None => parse_duration(self.default(field)?).map_err(|_| self.lack(field)),
         }
     }
 
@@ -286,7 +286,7 @@
     /// Returns the time.
     fn time(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
-        let time = text.and_then(|text| duration(text).ok());
+        let time = text.and_then(|text| parse_duration(text).ok());
         time.ok_or_else(|| self.invalid(Kind::Time.to_string()))
     }
 
