--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -1,7 +1,7 @@
 //! Clocks of the instance.
 
 use {
-    cowslip_decide::lead::Moment,
+    cowslip_decide::election::LocalTime,
     nix::time::{ClockId, clock_gettime},
     std::time::Duration,
     tokio::time::Instant,
@@ -10,12 +10,12 @@
 /// Returns the present moment by the runtime's clock and by the one that counts suspensions.
 ///
 /// Where the system has no such clock, suspensions are not noticed.
-pub fn moment() -> Moment {
+pub fn moment() -> LocalTime {
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
         .map_or(Duration::ZERO, Duration::from);
-    Moment {
-        steady: Instant::now(),
-        boot,
+    LocalTime {
+        monotonic: Instant::now(),
+        since_boot: boot,
     }
 }
--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -12,11 +12,11 @@
     },
     cowslip_adapter::{config::Config, store::Store},
     cowslip_decide::{
-        lead::Lead,
+        election::LeaderElection,
+        limits::{RetryBudget, RetryWindow},
         names::{Incarnation, Name},
         owners::{Former, Life, Piece, Present, Table},
-        share::{Bound, Share},
-        split::Dealer,
+        traffic_split::TrafficSplitter,
     },
     cowslip_settings::process::{Process, bounds::Bounds},
     std::{
@@ -131,11 +131,11 @@
     /// Connections and load by target.
     pub lines: RefCell<BTreeMap<Name, Rc<Line>>>,
     /// Retries by service.
-    pub shares: RefCell<BTreeMap<Name, Share>>,
+    pub shares: RefCell<BTreeMap<Name, RetryWindow>>,
     /// Distribution of each route's requests by weight.
-    pub dealers: RefCell<BTreeMap<Name, Dealer>>,
+    pub dealers: RefCell<BTreeMap<Name, TrafficSplitter>>,
     /// Leadership.
-    pub lead: RefCell<Lead>,
+    pub lead: RefCell<LeaderElection>,
     /// What this instance knows as leader.
     pub leader_state: Rc<RefCell<LeaderState>>,
     /// Version of the leader's row as it was read last, and the time of the store's clock after
@@ -214,7 +214,7 @@
             lines: RefCell::default(),
             shares: RefCell::default(),
             dealers: RefCell::default(),
-            lead: RefCell::new(Lead::new(TERM)),
+            lead: RefCell::new(LeaderElection::new(TERM)),
             leader_state: Rc::default(),
             former: Cell::new(None),
             granted: Cell::new(None),
@@ -267,25 +267,25 @@
 
     /// Returns whether this instance may act as leader now.
     pub fn leads(&self) -> bool {
-        self.lead.borrow().leads(clock::moment())
+        self.lead.borrow().is_leader(clock::moment())
     }
 
     /// Returns what is known of the leaders before this instance.
     pub fn former(&self) -> Former {
         Former {
             granted: self.granted.get(),
-            told: self.lead.borrow().mark().map(|it| it.store),
+            told: self.lead.borrow().store_timestamp().map(|it| it.store_time),
         }
     }
 
     /// Returns the present moment with the time that the store's clock shows at the latest, if the
     /// store ever told one.
     pub fn present(&self) -> Option<Present> {
-        let mark = self.lead.borrow().mark()?;
+        let mark = self.lead.borrow().store_timestamp()?;
         let now = clock::moment();
         Some(Present {
-            here: now.steady,
-            store: mark.store + now.boot.saturating_sub(mark.sent.boot),
+            here: now.monotonic,
+            store: mark.store_time + now.since_boot.saturating_sub(mark.sent_at.since_boot),
         })
     }
 
@@ -337,8 +337,8 @@
         let mut shares = self.shares.borrow_mut();
         let share = shares
             .entry(service.clone())
-            .or_insert_with(|| Share::new(now));
-        share.request(&bound, now);
+            .or_insert_with(|| RetryWindow::new(now));
+        share.add_request(&bound, now);
     }
 
     /// Takes one repeated send to a service out of this instance's share.
@@ -349,8 +349,8 @@
         let mut shares = self.shares.borrow_mut();
         let share = shares
             .entry(service.clone())
-            .or_insert_with(|| Share::new(now));
-        let allowed = share.repeat(&bound, instances, now);
+            .or_insert_with(|| RetryWindow::new(now));
+        let allowed = share.try_add_retry(&bound, instances, now);
         self.metrics.repeat(service, allowed);
         allowed
     }
@@ -367,9 +367,9 @@
         owned && self.targets.borrow().known() && self.stopping.get().is_none()
     }
 
-    fn retry_bound(&self) -> Bound {
+    fn retry_bound(&self) -> RetryBudget {
         let bounds = self.bounds.borrow();
-        Bound {
+        RetryBudget {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -131,7 +131,7 @@
     if state.is_granting() {
         return None;
     }
-    let current = state.reign == context.lead.borrow().reign();
+    let current = state.reign == context.lead.borrow().epoch();
     let all = divided(context).into_iter();
     let holds = all.map(|name| Some(state.services.get(&name)?.keeper.holds(now)));
     let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
@@ -198,7 +198,7 @@
     loop {
         // Either the tick is over or there is something to do.
         let _ = timeout(TICK, context.work.notified()).await;
-        let reign = context.lead.borrow().reign();
+        let reign = context.lead.borrow().epoch();
         if state.borrow().reign != reign {
             let mut state = state.borrow_mut();
             state.services.clear();
@@ -379,7 +379,7 @@
     }
     service.balanced = now;
     // Keys that were released and cannot be recorded would have no owner.
-    let writes = context.lead.borrow().writes(clock::moment());
+    let writes = context.lead.borrow().is_store_writable(clock::moment());
     if !writes || service.pending.is_some() {
         return;
     }
@@ -407,7 +407,7 @@
 
 /// Sends the orders that are due.
 fn send(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    let strained = context.lead.borrow().strained(clock::moment());
+    let strained = context.lead.borrow().is_renewal_overdue(clock::moment());
     let mut own = state.borrow_mut();
     let Some(service) = own.services.get_mut(name) else {
         return;
--- a/crates/cowslipcross/src/lead/recorder.rs
+++ b/crates/cowslipcross/src/lead/recorder.rs
@@ -80,7 +80,7 @@
         let Some((table, lost)) = pending else {
             return true;
         };
-        let renewed = self.context.lead.borrow().version() > lost && self.context.leads();
+        let renewed = self.context.lead.borrow().row_version() > lost && self.context.leads();
         renewed && seat::refresh(&self.context).await && self.settle(&table)
     }
 
@@ -119,7 +119,7 @@
             Recorded::Done => self.recorded(&table),
             Recorded::Refused => false,
             Recorded::Unknown => {
-                let lost = self.context.lead.borrow().version();
+                let lost = self.context.lead.borrow().row_version();
                 self.with(|service| service.pending = Some((table, lost)));
                 false
             }
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -13,7 +13,7 @@
     },
     cowslip_adapter::store::{Check, Commit, OWN_TABLE, Put, Row, Rows},
     cowslip_decide::{
-        lead::{Mark, Moment, Seat, Step, Turn},
+        election::{ClaimDelay, ElectionAction, LeaderRow, LocalTime, StoreTimestamp},
         names::Name,
         owners::{Life, Table, inherited},
     },
@@ -126,13 +126,13 @@
     loop {
         let led = context.leads();
         let turn = turn(&context, delay);
-        let step = context.lead.borrow_mut().step(clock::moment(), turn);
+        let step = context.lead.borrow_mut().next_action(clock::moment(), turn);
         let searches =
             !led && searches(&context) && reads.at.elapsed() >= SEARCH && reads.are_due(&context);
         let free = yields <= Instant::now() && context.stopping.get().is_none();
         match step {
-            Step::Write { version } if free => claim(&context, version).await,
-            Step::Read if reads.are_due(&context) => {
+            ElectionAction::Write { version } if free => claim(&context, version).await,
+            ElectionAction::Read if reads.are_due(&context) => {
                 reads.read(&context).await;
                 continue;
             }
@@ -169,13 +169,13 @@
 
 /// Returns when this instance takes a row that is free; `delay` is its own time to leave to others
 /// while it knows no members.
-fn turn(context: &Context, delay: Duration) -> Turn {
+fn turn(context: &Context, delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
     let strongest = context.membership.borrow().strongest(own);
-    Turn {
-        after: stagger(context, delay),
-        yields: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
+    ClaimDelay {
+        duration: stagger(context, delay),
+        applies_to_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
     }
 }
 
@@ -225,24 +225,30 @@
 }
 
 /// Takes the leader's row as the store has it.
-fn see(context: &Context, rows: &Rows, sent: Moment) {
+fn see(context: &Context, rows: &Rows, sent: LocalTime) {
     let row = rows.rows.iter().find(|row| row.key == SEAT_KEY);
-    let mark = rows.now.map(|store| Mark { store, sent });
+    let mark = rows.now.map(|store| StoreTimestamp {
+        store_time: store,
+        sent_at: sent,
+    });
     let value = row.and_then(|row| row.value.as_deref());
     let wire: Option<WireSeat> = value.and_then(|value| serde_json::from_slice(value).ok());
     let own = wire.as_ref().is_some_and(|it| it.run == context.run);
-    let seat = Seat {
+    let seat = LeaderRow {
         version: row.map_or(0, |row| row.version),
-        own,
-        vacant: wire.as_ref().is_none_or(|it| it.run.is_empty()),
-        marked: wire
+        is_own: own,
+        released: wire.as_ref().is_none_or(|it| it.run.is_empty()),
+        timestamp: wire
             .as_ref()
             .and_then(|it| it.told)
             .map(Duration::from_millis),
     };
     let granted = wire.as_ref().and_then(|it| grants_end(context, it));
     context.former.set(Some((seat.version, granted)));
-    context.lead.borrow_mut().read(seat, clock::moment(), mark);
+    context
+        .lead
+        .borrow_mut()
+        .apply_row(seat, clock::moment(), mark);
     if let Some(wire) = wire.filter(|_| !own) {
         context.leader.set(Some(wire.heartbeats));
     }
@@ -327,38 +333,48 @@
     context.leader.set(Some(context.settings.listen.heartbeats));
     context.leading.set(Some(Instant::now()));
     keep::take_members(context);
-    let version = context.lead.borrow().version();
+    let version = context.lead.borrow().row_version();
     context.note(events::LEADER_GAINED, format!("version {version}"));
     context.work.notify_one();
 }
 
 /// Returns the time of the store's clock that a write says. Without one it says the beginning of
 /// the clock, so that its lease has run out and the next write says what this one's answer told.
-fn said(context: &Context, now: Moment) -> Mark {
-    let mark = context.lead.borrow().mark();
-    mark.unwrap_or(Mark {
-        store: Duration::ZERO,
-        sent: Moment {
-            steady: now.steady,
-            boot: Duration::ZERO,
+fn said(context: &Context, now: LocalTime) -> StoreTimestamp {
+    let mark = context.lead.borrow().store_timestamp();
+    mark.unwrap_or(StoreTimestamp {
+        store_time: Duration::ZERO,
+        sent_at: LocalTime {
+            monotonic: now.monotonic,
+            since_boot: Duration::ZERO,
         },
     })
 }
 
 /// Takes the end of a write of the leader's row.
-fn settle(context: &Context, (said, sent): (Mark, Moment), end: &cowslip_adapter::Result<Commit>) {
+fn settle(
+    context: &Context,
+    (said, sent): (StoreTimestamp, LocalTime),
+    end: &cowslip_adapter::Result<Commit>,
+) {
     match end {
         Ok(Commit::Done { version, now }) => {
-            let told = now.map_or(said, |store| Mark { store, sent });
-            context.lead.borrow_mut().written(said, *version, told);
+            let told = now.map_or(said, |store| StoreTimestamp {
+                store_time: store,
+                sent_at: sent,
+            });
+            context
+                .lead
+                .borrow_mut()
+                .confirm_write(said, *version, told);
         }
         Ok(Commit::Conflict(rows)) => match rows.rows.iter().any(|row| row.key == SEAT_KEY) {
             true => see(context, rows, sent),
-            false => context.lead.borrow_mut().unanswered(),
+            false => context.lead.borrow_mut().mark_write_unanswered(),
         },
         Err(error) if error.may_have_happened() => {
             context.note(events::WRITE_UNKNOWN, error.to_string());
-            context.lead.borrow_mut().unanswered();
+            context.lead.borrow_mut().mark_write_unanswered();
         }
         // Nothing was written: the next step tries again.
         Err(error) => context.note(events::WRITE_REFUSED, error.to_string()),
@@ -372,7 +388,7 @@
         return Recorded::Refused;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let held = context.lead.borrow().version();
+    let held = context.lead.borrow().row_version();
     let wire = WireTable::new(table, |life| context.address(life));
     let Ok(mut puts) = record::rows(service, &wire) else {
         return Recorded::Refused;
@@ -423,9 +439,9 @@
 /// Gives the leader's row up, and asks the strongest member to take it.
 async fn give_up(context: &Context, why: &str) {
     let one = context.writing.lock().await;
-    let version = context.lead.borrow().version();
+    let version = context.lead.borrow().row_version();
     // From here on no grant begins; those under way end before the row says when they have run out.
-    context.lead.borrow_mut().lose();
+    context.lead.borrow_mut().step_down();
     context.leading.set(None);
     let ends = Instant::now() + GRANTS_END;
     while context.leader_state.borrow().is_granting() && Instant::now() < ends {
@@ -461,7 +477,7 @@
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
 /// grants is in force any more, if it knows.
-fn seat(context: &Context, said: Mark, given_up: Option<Option<Duration>>) -> Put {
+fn seat(context: &Context, said: StoreTimestamp, given_up: Option<Option<Duration>>) -> Put {
     let wire = WireSeat {
         name: context.settings.name.clone(),
         run: match given_up {
@@ -470,7 +486,7 @@
         },
         granted: given_up.flatten().map(|until| until.as_millis() as u64 + 1),
         heartbeats: context.settings.listen.heartbeats,
-        told: Some(said.store.as_millis() as u64),
+        told: Some(said.store_time.as_millis() as u64),
     };
     Put {
         key: SEAT_KEY.into(),
--- a/crates/cowslipcross/src/peers/beat.rs
+++ b/crates/cowslipcross/src/peers/beat.rs
@@ -45,10 +45,10 @@
 pub fn hear(context: &Context, beat: Heartbeat, from: SocketAddr) {
     context.events.witness(Stamp::from(beat.stamp));
     let mut lead = context.lead.borrow_mut();
-    if beat.seat < lead.version() {
+    if beat.seat < lead.row_version() {
         return;
     }
-    lead.hear(beat.seat, clock::moment());
+    lead.apply_heartbeat(beat.seat, clock::moment());
     drop(lead);
     context.leader.set(Some(from));
     context.heard.set(Some(Instant::now()));
@@ -117,7 +117,7 @@
     context.instances.set(count);
     let message = Message::Beat(Heartbeat {
         stamp: context.events.clock().into(),
-        seat: context.lead.borrow().version(),
+        seat: context.lead.borrow().row_version(),
         owners: owners::versions(context),
         instances: count,
         membership: membership.hash(),
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -9,7 +9,7 @@
     cowslip_adapter::config::Service,
     cowslip_decide::{
         names::Name,
-        pace::{self, Outlook},
+        service_time::{self, TargetEstimate},
     },
     std::{ops::RangeInclusive, rc::Rc, time::Duration},
     tokio::time::Instant,
@@ -172,15 +172,19 @@
         (requests, load.slots)
     });
     let (requests, slots) = told.unwrap_or((0.0, UNKNOWN_SLOTS));
-    let outlook = Outlook {
-        pace: line.pace.get().get().unwrap_or(pace::UNKNOWN),
-        requests: requests.max(f64::from(line.running.get())),
+    let outlook = TargetEstimate {
+        service_time: line
+            .pace
+            .get()
+            .seconds()
+            .unwrap_or(service_time::DEFAULT_SERVICE_TIME_S),
+        in_flight: requests.max(f64::from(line.running.get())),
         slots,
-        slowness: 1.0,
-        near,
+        slowdown: 1.0,
+        same_data_centre: near,
     };
     // Equal targets get equal parts.
-    outlook.time() * rand::random_range(LUCK)
+    outlook.response_time() * rand::random_range(LUCK)
 }
 
 /// Takes this instance's part of the rate that a cold target bears.
@@ -191,7 +195,7 @@
     now: Instant,
 ) -> Result<(), Duration> {
     let rate = service.cold_rate * COLD_SHARE / f64::from(context.instances.get().max(1));
-    line.tokens.borrow_mut().take(rate, now)
+    line.tokens.borrow_mut().try_take(rate, now)
 }
 
 /// Returns whether the target's data centre is withdrawn for longer than a part of the bound.
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -14,9 +14,9 @@
         },
     },
     cowslip_decide::{
-        attempts::{Course, Ending, Kind, Next, Seen},
+        attempts::{AttemptHistory, AttemptOutcome, FinalError, NextAction, RetryPolicy},
         names::Name,
-        permits::Outcome,
+        permits::PermitOutcome,
         verdict::Reason,
     },
     std::{rc::Rc, time::Duration},
@@ -42,16 +42,16 @@
 /// Sends a request until it is answered or given up.
 pub async fn deliver(context: Rc<Context>, request: Rc<Request>) -> Answer {
     context.count_request(&request.service);
-    let mut course = Course::default();
+    let mut course = AttemptHistory::default();
     loop {
         if Instant::now() >= request.deadline {
-            return ended(course.given_up(Reason::Deadline));
+            return ended(course.final_error(Reason::Deadline));
         }
         let step = match choose(&context, &request) {
             Choice::Refuse(wait) => return given_back(&course, wait),
             Choice::Wait(look) => Step::Change(look),
             Choice::Owner(line, target) => {
-                course.owner_found();
+                course.clear_owner_wait();
                 to_owner(&context, &request, &mut course, line, &target).await
             }
             Choice::Any => to_any(&context, &request, &mut course).await,
@@ -73,7 +73,7 @@
 async fn to_owner(
     context: &Rc<Context>,
     request: &Rc<Request>,
-    course: &mut Course,
+    course: &mut AttemptHistory,
     line: Rc<Line>,
     target: &Name,
 ) -> Step {
@@ -97,18 +97,18 @@
 }
 
 /// Sends a request to a target of an undivided service.
-async fn to_any(context: &Rc<Context>, request: &Rc<Request>, course: &mut Course) -> Step {
-    let (line, target, permit) = match permit::ask(context, request, None, &course.tried).await {
+async fn to_any(context: &Rc<Context>, request: &Rc<Request>, course: &mut AttemptHistory) -> Step {
+    let (line, target, permit) = match permit::ask(context, request, None, &course.excluded).await {
         Permitted::Yes(permit, target) => match choose::line_to(context, &target) {
             Some(line) => (line, target, Some(permit)),
             None => {
-                course.pass_over(target);
+                course.exclude_target(target);
                 return Step::Again(Duration::ZERO);
             }
         },
         Permitted::No(wait) => return Step::Answer(given_back(course, wait)),
         Permitted::Changed => return Step::Again(Duration::ZERO),
-        Permitted::Alone => match choose::alone(context, request, &course.tried) {
+        Permitted::Alone => match choose::alone(context, request, &course.excluded) {
             Ok((line, target)) => (line, target, None),
             Err(wait) => return Step::Answer(given_back(course, wait)),
         },
@@ -121,12 +121,12 @@
 async fn wait(
     context: &Context,
     request: &Request,
-    course: &mut Course,
+    course: &mut AttemptHistory,
     look: Duration,
 ) -> Option<Answer> {
     let now = Instant::now();
-    let Some(end) = course.waits(request.deadline, now) else {
-        return Some(ended(course.given_up(Reason::NoOwner)));
+    let Some(end) = course.poll_owner_wait(request.deadline, now) else {
+        return Some(ended(course.final_error(Reason::NoOwner)));
     };
     let changed = context.changed.notified();
     // A timeout only means that it is time to look again.
@@ -162,14 +162,14 @@
 }
 
 /// Returns what the holder of the pool has to know of an end.
-fn outcome(end: &End) -> Outcome {
+fn outcome(end: &End) -> PermitOutcome {
     match end {
-        End::Whole(_) => Outcome::Served,
-        End::Unrun(signs) if signs.misdirected => Outcome::Unused,
-        End::Unrun(_) => Outcome::Shed,
-        End::Unsent(NoLink::Full) => Outcome::Unused,
-        End::Unsent(NoLink::Failed) => Outcome::Unsent,
-        End::Broken(_) | End::Late => Outcome::Broken,
+        End::Whole(_) => PermitOutcome::Served,
+        End::Unrun(signs) if signs.misdirected => PermitOutcome::Unused,
+        End::Unrun(_) => PermitOutcome::Shed,
+        End::Unsent(NoLink::Full) => PermitOutcome::Unused,
+        End::Unsent(NoLink::Failed) => PermitOutcome::NotConnected,
+        End::Broken(_) | End::Late => PermitOutcome::Broken,
     }
 }
 
@@ -187,32 +187,32 @@
 fn after(
     context: &Context,
     request: &Request,
-    course: &mut Course,
+    course: &mut AttemptHistory,
     target: &Name,
     end: End,
 ) -> Step {
     context.metrics.ended(&request.service, &end);
     let seen = seen(request, &end);
     match seen {
-        Seen::Answered | Seen::Failed => unblock(context, request),
-        Seen::WrongOwner => block(context, request),
+        AttemptOutcome::Answered | AttemptOutcome::ServerError => unblock(context, request),
+        AttemptOutcome::WrongOwner => block(context, request),
         _ => {}
     }
     note_end(context, request, target, &end, seen);
-    let kind = Kind {
-        repeatable: request.route.repeatable,
-        keyed: request.key.is_some(),
-        attempts: request.route.attempts,
+    let kind = RetryPolicy {
+        idempotent: request.route.repeatable,
+        sharded: request.key.is_some(),
+        max_attempts: request.route.attempts,
     };
-    let next = course.ended(kind, target, seen, || context.may_repeat(&request.service));
+    let next = course.record_attempt(kind, target, seen, || context.may_repeat(&request.service));
     match (next, end) {
-        (Next::Pass, End::Whole(whole)) => Step::Answer(Answer::Whole(whole)),
+        (NextAction::ReturnAnswer, End::Whole(whole)) => Step::Answer(Answer::Whole(whole)),
         // Only whole answers are passed on.
-        (Next::Pass, _) => Step::Answer(Answer::Failed(Reason::Broken)),
-        (Next::End(ending), _) => Step::Answer(ended(ending)),
-        (Next::Change(look), _) => Step::Change(look),
-        (Next::Again(pause), _) => {
-            if matches!(seen, Seen::Failed | Seen::Broken) {
+        (NextAction::ReturnAnswer, _) => Step::Answer(Answer::Failed(Reason::Broken)),
+        (NextAction::ReturnError(ending), _) => Step::Answer(ended(ending)),
+        (NextAction::RetryOnChange(look), _) => Step::Change(look),
+        (NextAction::RetryAfter(pause), _) => {
+            if matches!(seen, AttemptOutcome::ServerError | AttemptOutcome::Broken) {
                 note(context, events::RETRY, request, target, "repeatable");
             }
             Step::Again(pause)
@@ -221,25 +221,27 @@
 }
 
 /// Returns what an end says to the decision about the next attempt.
-fn seen(request: &Request, end: &End) -> Seen {
+fn seen(request: &Request, end: &End) -> AttemptOutcome {
     match end {
-        End::Whole(whole) if whole.status.is_server_error() => Seen::Failed,
-        End::Whole(_) => Seen::Answered,
-        End::Unrun(signs) if signs.misdirected && request.key.is_some() => Seen::WrongOwner,
-        End::Unrun(_) => Seen::Refused,
-        End::Unsent(_) => Seen::Unsent,
-        End::Broken(_) => Seen::Broken,
-        End::Late => Seen::Late,
+        End::Whole(whole) if whole.status.is_server_error() => AttemptOutcome::ServerError,
+        End::Whole(_) => AttemptOutcome::Answered,
+        End::Unrun(signs) if signs.misdirected && request.key.is_some() => {
+            AttemptOutcome::WrongOwner
+        }
+        End::Unrun(_) => AttemptOutcome::Refused,
+        End::Unsent(_) => AttemptOutcome::Unsent,
+        End::Broken(_) => AttemptOutcome::Broken,
+        End::Late => AttemptOutcome::DeadlinePassed,
     }
 }
 
-fn note_end(context: &Context, request: &Request, target: &Name, end: &End, seen: Seen) {
+fn note_end(context: &Context, request: &Request, target: &Name, end: &End, seen: AttemptOutcome) {
     let (code, cause) = match (seen, end) {
-        (Seen::WrongOwner, _) => (events::WRONG_OWNER, "owner moved"),
-        (Seen::Refused, _) => (events::TARGET_SHED, "refused"),
+        (AttemptOutcome::WrongOwner, _) => (events::WRONG_OWNER, "owner moved"),
+        (AttemptOutcome::Refused, _) => (events::TARGET_SHED, "refused"),
         (_, End::Unsent(cause)) => (events::NO_CONNECTION, cause.text()),
         (_, End::Broken(cause)) => (events::MAY_HAVE_RUN, *cause),
-        (Seen::Late, _) => (events::MAY_HAVE_RUN, "deadline passed"),
+        (AttemptOutcome::DeadlinePassed, _) => (events::MAY_HAVE_RUN, "deadline passed"),
         _ => return,
     };
     note(context, code, request, target, cause);
@@ -263,22 +265,22 @@
 }
 
 /// Returns the answer to a request that nobody can serve in time.
-fn given_back(course: &Course, wait: Duration) -> Answer {
-    match course.given_up(Reason::Overload) {
-        Ending::Refused(reason) => Answer::Refused(Refusal { reason, wait }),
+fn given_back(course: &AttemptHistory, wait: Duration) -> Answer {
+    match course.final_error(Reason::Overload) {
+        FinalError::Refused(reason) => Answer::Refused(Refusal { reason, wait }),
         other => ended(other),
     }
 }
 
 /// Returns the answer to a request that ended without one of a target.
-fn ended(ending: Ending) -> Answer {
+fn ended(ending: FinalError) -> Answer {
     match ending {
-        Ending::Refused(reason) => Answer::Refused(Refusal {
+        FinalError::Refused(reason) => Answer::Refused(Refusal {
             reason,
             wait: COME_BACK,
         }),
-        Ending::Failed(reason) => Answer::Failed(reason),
-        Ending::TimedOut => Answer::TimedOut,
+        FinalError::Failed(reason) => Answer::Failed(reason),
+        FinalError::TimedOut => Answer::TimedOut,
     }
 }
 
--- a/crates/cowslipcross/src/serve/line.rs
+++ b/crates/cowslipcross/src/serve/line.rs
@@ -3,7 +3,7 @@
 use {
     crate::serve::exchange::Body,
     cowslip_adapter::{headers::Load, targets::Target},
-    cowslip_decide::{pace::Pace, share::Tokens},
+    cowslip_decide::{limits::TokenBucket, service_time::ServiceTime},
     hyper::client::conn::http1::{self, SendRequest},
     hyper_util::rt::TokioIo,
     socket2::SockRef,
@@ -62,9 +62,9 @@
     /// Load that the target told last, and when.
     pub load: Cell<Option<(Load, Instant)>>,
     /// Average time of its answers.
-    pub pace: Cell<Pace>,
+    pub pace: Cell<ServiceTime>,
     /// Limit of this instance while the target is cold.
-    pub tokens: RefCell<Tokens>,
+    pub tokens: RefCell<TokenBucket>,
     /// Until when the target is avoided.
     pub avoid: Cell<Option<Instant>>,
     idle: RefCell<Vec<Link>>,
@@ -86,7 +86,7 @@
             running: Cell::new(0),
             load: Cell::new(None),
             pace: Cell::default(),
-            tokens: RefCell::new(Tokens::new(rand::random(), now)),
+            tokens: RefCell::new(TokenBucket::new(rand::random(), now)),
             avoid: Cell::new(None),
             idle: RefCell::default(),
             open: Cell::new(0),
@@ -163,7 +163,7 @@
     /// Takes the time of an answer.
     pub fn answered(&self, time: Duration) {
         let mut pace = self.pace.get();
-        pace.add(time);
+        pace.record(time);
         self.pace.set(pace);
     }
 }
--- a/crates/cowslipcross/src/serve/permit.rs
+++ b/crates/cowslipcross/src/serve/permit.rs
@@ -12,7 +12,7 @@
     },
     cowslip_decide::{
         names::Name,
-        permits::{Ask, Asker, Member, Outcome, Pool, Reply},
+        permits::{PermitOutcome, PermitReply, PermitRequest, PermitRequestId, Pool, PoolTarget},
     },
     std::{
         cell::{Cell, RefCell},
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub struct Permits {
     pools: RefCell<BTreeMap<PoolKey, Pool<SocketAddr>>>,
-    askers: RefCell<BTreeMap<Asker<SocketAddr>, PoolKey>>,
+    askers: RefCell<BTreeMap<PermitRequestId<SocketAddr>, PoolKey>>,
     waiters: RefCell<BTreeMap<u64, Rc<Waiter>>>,
     silent: RefCell<BTreeMap<SocketAddr, Instant>>,
     next: Cell<u64>,
@@ -55,7 +55,7 @@
 
 #[derive(Default)]
 struct Waiter {
-    reply: RefCell<Option<Reply>>,
+    reply: RefCell<Option<PermitReply>>,
     told: Notify,
 }
 
@@ -65,7 +65,7 @@
     holder: SocketAddr,
     number: u64,
     /// How the request ended.
-    pub outcome: Cell<Outcome>,
+    pub outcome: Cell<PermitOutcome>,
     /// Momentary slowness that the target told.
     pub slowness: Cell<Option<f64>>,
 }
@@ -119,7 +119,7 @@
         let mut reply = waiter.reply.borrow_mut().take();
         match reply {
             None => unanswered += 1,
-            Some(Reply::Queued) => {
+            Some(PermitReply::Queued) => {
                 unanswered = 0;
                 let changed = context.changed.notified();
                 let check = (Instant::now() + CHECK).min(request.deadline);
@@ -132,8 +132,8 @@
             _ => {}
         }
         match reply {
-            Some(Reply::Granted(target)) => return Permitted::Yes(permit, target),
-            Some(Reply::Refused(wait)) => return Permitted::No(wait),
+            Some(PermitReply::Granted(target)) => return Permitted::Yes(permit, target),
+            Some(PermitReply::Refused(wait)) => return Permitted::No(wait),
             _ if Instant::now() >= request.deadline => return Permitted::No(Duration::ZERO),
             _ if unanswered >= MOST_ASKS => {
                 pass_over(context, holder);
@@ -155,7 +155,7 @@
         context: context.clone(),
         holder,
         number,
-        outcome: Cell::new(Outcome::Unused),
+        outcome: Cell::new(PermitOutcome::Unused),
         slowness: Cell::new(None),
     };
     (permit, waiter)
@@ -222,12 +222,12 @@
             tried,
         } => {
             let now = Instant::now();
-            let ask = Ask {
-                rank,
-                goal: now + Duration::from_millis(goal),
+            let ask = PermitRequest {
+                priority: rank,
+                latency_goal: now + Duration::from_millis(goal),
                 deadline: now + Duration::from_millis(left),
                 data_centre,
-                tried,
+                excluded: tried,
             };
             asked(context, (from, number), (service, target), ask);
         }
@@ -236,16 +236,20 @@
             outcome,
             slowness,
         } => returned(context, &(from, number), code_outcome(outcome), slowness),
-        Message::Granted { number, target } => told(context, number, Reply::Granted(target)),
-        Message::Queued { number } => told(context, number, Reply::Queued),
+        Message::Granted { number, target } => told(context, number, PermitReply::Granted(target)),
+        Message::Queued { number } => told(context, number, PermitReply::Queued),
         Message::Refused { number, wait } => {
-            told(context, number, Reply::Refused(Duration::from_millis(wait)));
+            told(
+                context,
+                number,
+                PermitReply::Refused(Duration::from_millis(wait)),
+            );
         }
         _ => {}
     }
 }
 
-fn told(context: &Context, number: u64, reply: Reply) {
+fn told(context: &Context, number: u64, reply: PermitReply) {
     let waiters = context.permits.waiters.borrow();
     if let Some(waiter) = waiters.get(&number) {
         *waiter.reply.borrow_mut() = Some(reply);
@@ -253,7 +257,7 @@
     }
 }
 
-fn asked(context: &Context, asker: Asker<SocketAddr>, key: PoolKey, ask: Ask) {
+fn asked(context: &Context, asker: PermitRequestId<SocketAddr>, key: PoolKey, ask: PermitRequest) {
     let now = Instant::now();
     let members = members(context, &key, now);
     // Without a reply the asker turns to another member.
@@ -262,16 +266,21 @@
     }
     let mut pools = context.permits.pools.borrow_mut();
     let pool = pools.entry(key.clone()).or_default();
-    pool.update(&members, now);
-    let reply = pool.ask(asker, ask, now);
+    pool.update_targets(&members, now);
+    let reply = pool.request_permit(asker, ask, now);
     drop(pools);
-    if !matches!(reply, Reply::Refused(_)) {
+    if !matches!(reply, PermitReply::Refused(_)) {
         context.permits.askers.borrow_mut().insert(asker, key);
     }
     answer(context, asker, reply);
 }
 
-fn returned(context: &Context, asker: &Asker<SocketAddr>, outcome: Outcome, slowness: Option<f64>) {
+fn returned(
+    context: &Context,
+    asker: &PermitRequestId<SocketAddr>,
+    outcome: PermitOutcome,
+    slowness: Option<f64>,
+) {
     let Some(key) = context.permits.askers.borrow_mut().remove(asker) else {
         return;
     };
@@ -280,9 +289,9 @@
     let Some(pool) = pools.get_mut(&key) else {
         return;
     };
-    pool.done(asker, outcome, slowness, now);
-    let replies = if pool.waiting() > 0 {
-        pool.serve(now)
+    pool.finish_request(asker, outcome, slowness, now);
+    let replies = if pool.queue_length() > 0 {
+        pool.process_queue(now)
     } else {
         Vec::new()
     };
@@ -296,7 +305,7 @@
     let pools = context.permits.pools.borrow();
     let paces = pools.iter().filter_map(|((_, target), pool)| {
         let target = target.as_ref()?;
-        let pace = pool.pace(target)?;
+        let pace = pool.service_time(target)?;
         Some((target.clone(), (1000.0 * pace) as u32))
     });
     paces.collect()
@@ -310,38 +319,38 @@
             .pools
             .borrow()
             .values()
-            .any(|it| it.waiting() > 0);
+            .any(|it| it.queue_length() > 0);
         // Without anyone waiting there is only old state to drop.
         sleep(if waiting { TICK } else { 5 * TICK }).await;
         let now = Instant::now();
         let mut replies = Vec::new();
         let mut pools = context.permits.pools.borrow_mut();
         for (key, pool) in pools.iter_mut().filter(|(_, pool)| !pool.is_idle()) {
-            pool.update(&members(&context, key, now), now);
-            replies.extend(pool.serve(now));
+            pool.update_targets(&members(&context, key, now), now);
+            replies.extend(pool.process_queue(now));
         }
         let mut askers = context.permits.askers.borrow_mut();
-        askers.retain(|asker, key| pools.get(key).is_some_and(|pool| pool.knows(asker)));
+        askers.retain(|asker, key| pools.get(key).is_some_and(|pool| pool.has_request(asker)));
         drop(askers);
         drop(pools);
         send_all(&context, replies);
     }
 }
 
-fn send_all(context: &Context, replies: Vec<(Asker<SocketAddr>, Reply)>) {
+fn send_all(context: &Context, replies: Vec<(PermitRequestId<SocketAddr>, PermitReply)>) {
     for (asker, reply) in replies {
-        if matches!(reply, Reply::Refused(_)) {
+        if matches!(reply, PermitReply::Refused(_)) {
             context.permits.askers.borrow_mut().remove(&asker);
         }
         answer(context, asker, reply);
     }
 }
 
-fn answer(context: &Context, (address, number): Asker<SocketAddr>, reply: Reply) {
+fn answer(context: &Context, (address, number): PermitRequestId<SocketAddr>, reply: PermitReply) {
     let message = match reply {
-        Reply::Granted(target) => Message::Granted { number, target },
-        Reply::Queued => Message::Queued { number },
-        Reply::Refused(wait) => Message::Refused {
+        PermitReply::Granted(target) => Message::Granted { number, target },
+        PermitReply::Queued => Message::Queued { number },
+        PermitReply::Refused(wait) => Message::Refused {
             number,
             wait: wait.as_millis() as u64,
         },
@@ -358,7 +367,7 @@
 }
 
 /// Returns the targets of a pool that may be sent to.
-fn members(context: &Context, key: &PoolKey, now: Instant) -> BTreeMap<Name, Member> {
+fn members(context: &Context, key: &PoolKey, now: Instant) -> BTreeMap<Name, PoolTarget> {
     let (service, only) = key;
     let config = context.config.borrow();
     let config = config.as_ref().and_then(|it| it.services.get(service));
@@ -373,7 +382,7 @@
             None => seen.leaving.is_none() && !withdrawn.contains_key(&seen.target.data_centre),
         })
         .map(|seen| {
-            let member = Member {
+            let member = PoolTarget {
                 slots: seen.target.slots.min(1000) as u32,
                 data_centre: seen.target.data_centre.clone(),
                 cold_rate: seen.is_cold(now).then_some(rate),
@@ -383,22 +392,22 @@
         .collect()
 }
 
-fn outcome_code(outcome: Outcome) -> u8 {
+fn outcome_code(outcome: PermitOutcome) -> u8 {
     match outcome {
-        Outcome::Served => 0,
-        Outcome::Shed => 1,
-        Outcome::Unused => 2,
-        Outcome::Unsent => 3,
-        Outcome::Broken => 4,
+        PermitOutcome::Served => 0,
+        PermitOutcome::Shed => 1,
+        PermitOutcome::Unused => 2,
+        PermitOutcome::NotConnected => 3,
+        PermitOutcome::Broken => 4,
     }
 }
 
-fn code_outcome(code: u8) -> Outcome {
+fn code_outcome(code: u8) -> PermitOutcome {
     match code {
-        0 => Outcome::Served,
-        1 => Outcome::Shed,
-        2 => Outcome::Unused,
-        3 => Outcome::Unsent,
-        _ => Outcome::Broken,
+        0 => PermitOutcome::Served,
+        1 => PermitOutcome::Shed,
+        2 => PermitOutcome::Unused,
+        3 => PermitOutcome::NotConnected,
+        _ => PermitOutcome::Broken,
     }
 }
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -146,8 +146,8 @@
     let mut dealers = context.dealers.borrow_mut();
     let dealer = dealers
         .entry(route.name.clone())
-        .or_insert_with(|| cowslip_decide::split::Dealer::new(rand::random()));
-    let at = dealer.deal(route.split.iter().map(|(_, weight)| *weight))?;
+        .or_insert_with(|| cowslip_decide::traffic_split::TrafficSplitter::new(rand::random()));
+    let at = dealer.next_index(route.split.iter().map(|(_, weight)| *weight))?;
     Some(route.split[at].0.clone())
 }
 
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -26,22 +26,22 @@
 
 /// What decides about the attempts of a request from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct RetryPolicy {
     /// Whether running it twice is harmless.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Whether one target alone owns its key.
-    pub keyed: bool,
+    pub sharded: bool,
     /// Most targets that it may run at.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum AttemptOutcome {
     /// The target answered with a result.
     Answered,
     /// The target answered that it failed.
-    Failed,
+    ServerError,
     /// The target does not own the key and did not run the request.
     WrongOwner,
     /// The target did not run the request.
@@ -51,25 +51,25 @@
     /// Bytes left, and no whole answer came.
     Broken,
     /// Bytes left, and the deadline passed.
-    Late,
+    DeadlinePassed,
 }
 
 /// What follows the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// The caller gets the target's answer.
-    Pass,
+    ReturnAnswer,
     /// Choose again after this time.
-    Again(Duration),
+    RetryAfter(Duration),
     /// Choose again when something has changed, or after this time.
-    Change(Duration),
+    RetryOnChange(Duration),
     /// The caller gets this.
-    End(Ending),
+    ReturnError(FinalError),
 }
 
 /// Final answer to a request without an answer of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum FinalError {
     /// It has not run and will not.
     Refused(Reason),
     /// It may have run, and no answer will come.
@@ -80,75 +80,75 @@
 
 /// What has become of a request so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Course {
+pub struct AttemptHistory {
     /// Targets that did not serve it, where others may.
-    pub tried: Vec<Name>,
+    pub excluded: Vec<Name>,
     run: u32,
     refused: u32,
     waiting: Option<Instant>,
 }
 
-impl Course {
+impl AttemptHistory {
     /// Takes the end of an attempt at a target; `repeat` takes one out of the bound on repeats.
-    pub fn ended(
+    pub fn record_attempt(
         &mut self,
-        kind: Kind,
+        kind: RetryPolicy,
         target: &Name,
-        seen: Seen,
+        seen: AttemptOutcome,
         repeat: impl FnOnce() -> bool,
-    ) -> Next {
+    ) -> NextAction {
         match seen {
-            Seen::Answered => {
+            AttemptOutcome::Answered => {
                 self.run += 1;
-                Next::Pass
+                NextAction::ReturnAnswer
             }
-            Seen::Failed => match self.runs_again(kind, target, repeat) {
-                true => Next::Again(Duration::ZERO),
-                false => Next::Pass,
+            AttemptOutcome::ServerError => match self.runs_again(kind, target, repeat) {
+                true => NextAction::RetryAfter(Duration::ZERO),
+                false => NextAction::ReturnAnswer,
             },
-            Seen::Broken => match self.runs_again(kind, target, repeat) {
-                true => Next::Again(Duration::ZERO),
-                false => Next::End(Ending::Failed(Reason::Broken)),
+            AttemptOutcome::Broken => match self.runs_again(kind, target, repeat) {
+                true => NextAction::RetryAfter(Duration::ZERO),
+                false => NextAction::ReturnError(FinalError::Failed(Reason::Broken)),
             },
-            Seen::Late => {
+            AttemptOutcome::DeadlinePassed => {
                 self.run += 1;
-                Next::End(Ending::TimedOut)
+                NextAction::ReturnError(FinalError::TimedOut)
             }
-            Seen::WrongOwner => match self.sends_again(MOST_UNSENT) && repeat() {
-                true => Next::Change(LINK_WAIT),
-                false => Next::End(self.unrun(Reason::NoOwner)),
+            AttemptOutcome::WrongOwner => match self.sends_again(MOST_UNSENT) && repeat() {
+                true => NextAction::RetryOnChange(LINK_WAIT),
+                false => NextAction::ReturnError(self.unrun(Reason::NoOwner)),
             },
-            Seen::Refused => match self.sends_again(MOST_REFUSED) && repeat() {
+            AttemptOutcome::Refused => match self.sends_again(MOST_REFUSED) && repeat() {
                 true => self.elsewhere(kind, target, SHED_WAIT),
-                false => Next::End(self.unrun(Reason::Shed)),
+                false => NextAction::ReturnError(self.unrun(Reason::Shed)),
             },
-            Seen::Unsent => match self.sends_again(MOST_UNSENT) {
+            AttemptOutcome::Unsent => match self.sends_again(MOST_UNSENT) {
                 true => self.elsewhere(kind, target, LINK_WAIT),
-                false => Next::End(self.unrun(Reason::Broken)),
+                false => NextAction::ReturnError(self.unrun(Reason::Broken)),
             },
         }
     }
 
     /// Returns the end of a request that is not sent any more.
-    pub fn given_up(&self, reason: Reason) -> Ending {
+    pub fn final_error(&self, reason: Reason) -> FinalError {
         match self.run {
-            0 => Ending::Refused(reason),
-            _ => Ending::TimedOut,
+            0 => FinalError::Refused(reason),
+            _ => FinalError::TimedOut,
         }
     }
 
     /// Passes a target over that must not get the request.
-    pub fn pass_over(&mut self, target: Name) {
-        self.tried.push(target);
+    pub fn exclude_target(&mut self, target: Name) {
+        self.excluded.push(target);
     }
 
     /// Notes that the key has an owner that takes requests.
-    pub fn owner_found(&mut self) {
+    pub fn clear_owner_wait(&mut self) {
         self.waiting = None;
     }
 
     /// Returns until when it waits for an owner of its key; `None` if it has waited long enough.
-    pub fn waits(&mut self, deadline: Instant, now: Instant) -> Option<Instant> {
+    pub fn poll_owner_wait(&mut self, deadline: Instant, now: Instant) -> Option<Instant> {
         let since = *self.waiting.get_or_insert(now);
         let left = deadline.saturating_duration_since(since);
         let end = since + left.mul_f64(OWNER_WAIT).min(LONGEST_WAIT);
@@ -156,13 +156,18 @@
     }
 
     /// Counts a send that may have run; returns whether another one may.
-    fn runs_again(&mut self, kind: Kind, target: &Name, repeat: impl FnOnce() -> bool) -> bool {
+    fn runs_again(
+        &mut self,
+        kind: RetryPolicy,
+        target: &Name,
+        repeat: impl FnOnce() -> bool,
+    ) -> bool {
         self.run += 1;
-        if !kind.repeatable || self.run >= kind.attempts || !repeat() {
+        if !kind.idempotent || self.run >= kind.max_attempts || !repeat() {
             return false;
         }
-        if !kind.keyed {
-            self.tried.push(target.clone());
+        if !kind.sharded {
+            self.excluded.push(target.clone());
         }
         true
     }
@@ -174,19 +179,19 @@
     }
 
     /// Tries another target at once, or the only one that owns the key after a wait.
-    fn elsewhere(&mut self, kind: Kind, target: &Name, wait: Duration) -> Next {
-        if kind.keyed {
-            return Next::Again(wait);
+    fn elsewhere(&mut self, kind: RetryPolicy, target: &Name, wait: Duration) -> NextAction {
+        if kind.sharded {
+            return NextAction::RetryAfter(wait);
         }
-        self.tried.push(target.clone());
-        Next::Again(Duration::ZERO)
+        self.excluded.push(target.clone());
+        NextAction::RetryAfter(Duration::ZERO)
     }
 
     /// Returns the end of a request whose last attempt did not run.
-    fn unrun(&self, reason: Reason) -> Ending {
+    fn unrun(&self, reason: Reason) -> FinalError {
         match self.run {
-            0 => Ending::Refused(reason),
-            _ => Ending::Failed(reason),
+            0 => FinalError::Refused(reason),
+            _ => FinalError::Failed(reason),
         }
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -5,11 +5,11 @@
 //! can run the machines at any speed.
 
 pub mod attempts;
-pub mod lead;
+pub mod election;
+pub mod limits;
 pub mod names;
 pub mod owners;
-pub mod pace;
 pub mod permits;
-pub mod share;
-pub mod split;
+pub mod service_time;
+pub mod traffic_split;
 pub mod verdict;
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/limits.rs
@@ -9,7 +9,7 @@
 
 /// Bound on repeated sends: a share of the requests and a fixed number, within a sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RetryBudget {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that, of all instances together.
@@ -20,14 +20,14 @@
 
 /// Requests and repeated sends of one instance to one service in the last window.
 #[derive(Debug)]
-pub struct Share {
+pub struct RetryWindow {
     start: Instant,
     slice: u64,
     requests: [u32; SLICES],
     repeats: [u32; SLICES],
 }
 
-impl Share {
+impl RetryWindow {
     /// Creates an empty window.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -39,13 +39,13 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, bound: &Bound, now: Instant) {
+    pub fn add_request(&mut self, bound: &RetryBudget, now: Instant) {
         let at = self.turn(bound, now);
         self.requests[at] += 1;
     }
 
     /// Takes one repeated send out of this instance's share; `false` if it is used up.
-    pub fn repeat(&mut self, bound: &Bound, instances: u32, now: Instant) -> bool {
+    pub fn try_add_retry(&mut self, bound: &RetryBudget, instances: u32, now: Instant) -> bool {
         let at = self.turn(bound, now);
         let requests: u32 = self.requests.iter().sum();
         let repeats: u32 = self.repeats.iter().sum();
@@ -59,7 +59,7 @@
     }
 
     /// Empties the slices that have left the window; returns the place of the present one.
-    fn turn(&mut self, bound: &Bound, now: Instant) -> usize {
+    fn turn(&mut self, bound: &RetryBudget, now: Instant) -> usize {
         let length = bound.window.as_secs_f64() / SLICES as f64;
         let slice = (now.duration_since(self.start).as_secs_f64() / length) as u64;
         let passed = slice.saturating_sub(self.slice).min(SLICES as u64);
@@ -82,12 +82,12 @@
 /// A request takes a whole token; an instance starts with the part of one that `first` says, so
 /// that instances which find the same target cold do not all send at once.
 #[derive(Debug)]
-pub struct Tokens {
+pub struct TokenBucket {
     saved: f64,
     since: Instant,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// Creates the tokens with `first` of one, 0 to 1.
     pub fn new(first: f64, now: Instant) -> Self {
         Self {
@@ -97,7 +97,7 @@
     }
 
     /// Takes a token at `rate` a second; returns the time to wait if there is none.
-    pub fn take(&mut self, rate: f64, now: Instant) -> Result<(), Duration> {
+    pub fn try_take(&mut self, rate: f64, now: Instant) -> Result<(), Duration> {
         let passed = now.duration_since(self.since).as_secs_f64();
         self.saved = (self.saved + passed * rate).min(1.0);
         self.since = now;
--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -6,9 +6,9 @@
 
 use {
     crate::{
+        limits::TokenBucket,
         names::Name,
-        pace::{self, Outlook, Pace},
-        share::Tokens,
+        service_time::{self, ServiceTime, TargetEstimate},
     },
     std::{collections::BTreeMap, time::Duration},
     tokio::time::Instant,
@@ -33,26 +33,26 @@
 const LEAST_WAIT: Duration = Duration::from_millis(100);
 
 /// Who asks: an instance and its number for the request.
-pub type Asker<A> = (A, u64);
+pub type PermitRequestId<A> = (A, u64);
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Rank; 0 is the highest.
-    pub rank: u8,
+    pub priority: u8,
     /// Time within which its answer earns its full worth.
-    pub goal: Instant,
+    pub latency_goal: Instant,
     /// Time by which its caller wants the answer.
     pub deadline: Instant,
     /// Data centre of the instance that asks.
     pub data_centre: Name,
     /// Targets that did not serve it before.
-    pub tried: Vec<Name>,
+    pub excluded: Vec<Name>,
 }
 
 /// What the holder tells an asker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum PermitReply {
     /// Send to this target now.
     Granted(Name),
     /// Wait.
@@ -63,7 +63,7 @@
 
 /// How the request of a permit ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum PermitOutcome {
     /// The target answered.
     Served,
     /// The target refused it without running it.
@@ -71,14 +71,14 @@
     /// It was not sent, for no fault of the target.
     Unused,
     /// The target took no connection.
-    Unsent,
+    NotConnected,
     /// There was no whole answer.
     Broken,
 }
 
 /// A target of the pool as the holder knows it.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct PoolTarget {
     /// Requests that it runs at the same time.
     pub slots: u32,
     /// Data centre.
@@ -91,18 +91,18 @@
 #[derive(Debug)]
 pub struct Pool<A: Ord> {
     targets: BTreeMap<Name, Target<A>>,
-    queue: Vec<(Asker<A>, Ask)>,
+    queue: Vec<(PermitRequestId<A>, PermitRequest)>,
 }
 
 #[derive(Debug)]
 struct Target<A: Ord> {
-    member: Member,
-    running: BTreeMap<Asker<A>, Permit>,
-    pace: Pace,
+    member: PoolTarget,
+    running: BTreeMap<PermitRequestId<A>, Permit>,
+    pace: ServiceTime,
     slowness: Option<(f64, Instant)>,
     avoid: Option<Instant>,
     full: Option<Instant>,
-    tokens: Option<Tokens>,
+    tokens: Option<TokenBucket>,
 }
 
 #[derive(Debug)]
@@ -122,13 +122,13 @@
 
 impl<A: Ord + Clone> Pool<A> {
     /// Takes the targets that may be sent to; permits of those that are not there any more end.
-    pub fn update(&mut self, members: &BTreeMap<Name, Member>, now: Instant) {
+    pub fn update_targets(&mut self, members: &BTreeMap<Name, PoolTarget>, now: Instant) {
         self.targets.retain(|name, _| members.contains_key(name));
         for (name, member) in members {
             let target = self.targets.entry(name.clone()).or_insert_with(|| Target {
                 member: member.clone(),
                 running: BTreeMap::new(),
-                pace: Pace::default(),
+                pace: ServiceTime::default(),
                 slowness: None,
                 avoid: None,
                 full: None,
@@ -138,7 +138,7 @@
             match member.cold_rate {
                 None => target.tokens = None,
                 Some(_) if target.tokens.is_some() => {}
-                Some(_) => target.tokens = Some(Tokens::new(1.0, now)),
+                Some(_) => target.tokens = Some(TokenBucket::new(1.0, now)),
             }
         }
     }
@@ -149,49 +149,57 @@
     }
 
     /// Returns whether someone waits or has a permit.
-    pub fn knows(&self, asker: &Asker<A>) -> bool {
+    pub fn has_request(&self, asker: &PermitRequestId<A>) -> bool {
         let waits = self.queue.iter().any(|(known, _)| known == asker);
         waits || self.holds(asker).is_some()
     }
 
     /// Returns how many wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
     /// Returns the average time of a target's answers in seconds.
-    pub fn pace(&self, target: &str) -> Option<f64> {
-        self.targets.get(target)?.pace.get()
+    pub fn service_time(&self, target: &str) -> Option<f64> {
+        self.targets.get(target)?.pace.seconds()
     }
 
     /// Takes a question; a repeated one gets the reply as it stands.
-    pub fn ask(&mut self, asker: Asker<A>, ask: Ask, now: Instant) -> Reply {
+    pub fn request_permit(
+        &mut self,
+        asker: PermitRequestId<A>,
+        ask: PermitRequest,
+        now: Instant,
+    ) -> PermitReply {
         if let Some(target) = self.holds(&asker) {
-            return Reply::Granted(target);
+            return PermitReply::Granted(target);
         }
         if self.queue.iter().any(|(known, _)| *known == asker) {
-            return Reply::Queued;
+            return PermitReply::Queued;
         }
-        let ahead = self.queue.iter().filter(|(_, it)| it.rank <= ask.rank);
+        let ahead = self
+            .queue
+            .iter()
+            .filter(|(_, it)| it.priority <= ask.priority);
         let ahead = ahead.count();
         if ahead == 0
             && let Some(target) = self.pick(&ask, now)
         {
             self.permit(asker, &ask, &target, now);
-            return Reply::Granted(target);
+            return PermitReply::Granted(target);
         }
         if let Some(wait) = self.too_late(ahead, &ask, now) {
-            return Reply::Refused(wait);
+            return PermitReply::Refused(wait);
         }
         self.queue.push((asker, ask));
-        Reply::Queued
+        PermitReply::Queued
     }
 
     /// Takes the end of a request with a permit, or of one that waits no longer.
-    pub fn done(
+    pub fn finish_request(
         &mut self,
-        asker: &Asker<A>,
-        outcome: Outcome,
+        asker: &PermitRequestId<A>,
+        outcome: PermitOutcome,
         slowness: Option<f64>,
         now: Instant,
     ) {
@@ -205,15 +213,20 @@
 
     /// Returns the replies to those that waited: permits for free slots, and refusals of those that
     /// cannot be served in time any more.
-    pub fn serve(&mut self, now: Instant) -> Vec<(Asker<A>, Reply)> {
+    pub fn process_queue(&mut self, now: Instant) -> Vec<(PermitRequestId<A>, PermitReply)> {
         for target in self.targets.values_mut() {
             target.running.retain(|_, permit| permit.void > now);
         }
         let mut replies = Vec::new();
         // Those that can still earn their full worth go first within their rank.
         let soon = Duration::from_secs_f64(self.usual());
-        self.queue
-            .sort_by_key(|(_, ask)| (ask.rank, ask.goal < now + soon, ask.goal));
+        self.queue.sort_by_key(|(_, ask)| {
+            (
+                ask.priority,
+                ask.latency_goal < now + soon,
+                ask.latency_goal,
+            )
+        });
         let mut at = 0;
         while at < self.queue.len() {
             let ask = self.queue[at].1.clone();
@@ -223,21 +236,21 @@
             };
             let (asker, _) = self.queue.remove(at);
             self.permit(asker.clone(), &ask, &target, now);
-            replies.push((asker, Reply::Granted(target)));
+            replies.push((asker, PermitReply::Granted(target)));
         }
         replies.extend(self.give_up(now));
         replies
     }
 
     /// Refuses those that will not get a slot in time, in the order in which they would be served.
-    fn give_up(&mut self, now: Instant) -> Vec<(Asker<A>, Reply)> {
+    fn give_up(&mut self, now: Instant) -> Vec<(PermitRequestId<A>, PermitReply)> {
         let mut replies = Vec::new();
         let mut at = 0;
         while at < self.queue.len() {
             match self.too_late(at, &self.queue[at].1, now) {
                 Some(wait) => {
                     let (asker, _) = self.queue.remove(at);
-                    replies.push((asker, Reply::Refused(wait)));
+                    replies.push((asker, PermitReply::Refused(wait)));
                 }
                 None => at += 1,
             }
@@ -245,13 +258,19 @@
         replies
     }
 
-    fn holds(&self, asker: &Asker<A>) -> Option<Name> {
+    fn holds(&self, asker: &PermitRequestId<A>) -> Option<Name> {
         let mut targets = self.targets.iter();
         let found = targets.find(|(_, target)| target.running.contains_key(asker));
         found.map(|(name, _)| name.clone())
     }
 
-    fn permit(&mut self, asker: Asker<A>, ask: &Ask, target: &Name, now: Instant) {
+    fn permit(
+        &mut self,
+        asker: PermitRequestId<A>,
+        ask: &PermitRequest,
+        target: &Name,
+        now: Instant,
+    ) {
         if let Some(target) = self.targets.get_mut(target) {
             let permit = Permit {
                 since: now,
@@ -263,11 +282,11 @@
 
     /// Returns the target with a free slot at which the request ends soonest; a cold one only where
     /// no warm one is open, and at its own rate.
-    fn pick(&mut self, ask: &Ask, now: Instant) -> Option<Name> {
+    fn pick(&mut self, ask: &PermitRequest, now: Instant) -> Option<Name> {
         let usual = self.usual();
         let backlog = !self.queue.is_empty();
         let open = |(name, target): &(&Name, &Target<A>)| {
-            !ask.tried.contains(name) && target.is_open(backlog, now)
+            !ask.excluded.contains(name) && target.is_open(backlog, now)
         };
         let cost = |target: &Target<A>| target.cost(ask, usual, now);
         let warm = self.targets.iter().filter(open);
@@ -284,11 +303,11 @@
             return None;
         }
         let cold = self.targets.iter_mut();
-        let cold = cold.filter(|(name, it)| !ask.tried.contains(name) && it.is_open(false, now));
+        let cold = cold.filter(|(name, it)| !ask.excluded.contains(name) && it.is_open(false, now));
         for (name, target) in cold {
             let rate = target.member.cold_rate.unwrap_or_default();
             let tokens = target.tokens.as_mut()?;
-            if tokens.take(rate, now).is_ok() {
+            if tokens.try_take(rate, now).is_ok() {
                 return Some(name.clone());
             }
         }
@@ -296,7 +315,7 @@
     }
 
     /// Returns when to come back if a request behind `ahead` others would be served too late.
-    fn too_late(&self, ahead: usize, ask: &Ask, now: Instant) -> Option<Duration> {
+    fn too_late(&self, ahead: usize, ask: &PermitRequest, now: Instant) -> Option<Duration> {
         let slots: u32 = self.targets.values().map(|it| it.member.slots).sum();
         let pace = self.usual();
         let left = ask.deadline.saturating_duration_since(now).as_secs_f64();
@@ -316,10 +335,10 @@
         let paces: Vec<f64> = self
             .targets
             .values()
-            .filter_map(|it| it.pace.get())
+            .filter_map(|it| it.pace.seconds())
             .collect();
         match paces.len() {
-            0 => pace::UNKNOWN,
+            0 => service_time::DEFAULT_SERVICE_TIME_S,
             count => paces.iter().sum::<f64>() / count as f64,
         }
     }
@@ -336,33 +355,39 @@
     }
 
     /// Returns the time after which a request would likely end, in seconds.
-    fn cost(&self, ask: &Ask, usual: f64, now: Instant) -> f64 {
+    fn cost(&self, ask: &PermitRequest, usual: f64, now: Instant) -> f64 {
         let slowness = match self.slowness {
             Some((slowness, at)) if now - at < SLOWNESS_AGE => slowness.clamp(0.5, 5.0),
             _ => 1.0,
         };
-        let outlook = Outlook {
-            pace: self.pace.get().unwrap_or(usual),
-            requests: self.running.len() as f64,
+        let outlook = TargetEstimate {
+            service_time: self.pace.seconds().unwrap_or(usual),
+            in_flight: self.running.len() as f64,
             slots: self.member.slots,
-            slowness,
-            near: ask.data_centre == self.member.data_centre,
+            slowdown: slowness,
+            same_data_centre: ask.data_centre == self.member.data_centre,
         };
-        outlook.time()
+        outlook.response_time()
     }
 
-    fn ended(&mut self, outcome: Outcome, time: Duration, slowness: Option<f64>, now: Instant) {
+    fn ended(
+        &mut self,
+        outcome: PermitOutcome,
+        time: Duration,
+        slowness: Option<f64>,
+        now: Instant,
+    ) {
         if let Some(slowness) = slowness {
             self.slowness = Some((slowness, now));
         }
         match outcome {
-            Outcome::Served => {
-                self.pace.add(time);
+            PermitOutcome::Served => {
+                self.pace.record(time);
                 self.full = None;
             }
-            Outcome::Shed => self.full = Some(now + FULL),
-            Outcome::Unsent => self.avoid = Some(now + AVOIDED),
-            Outcome::Broken | Outcome::Unused => {}
+            PermitOutcome::Shed => self.full = Some(now + FULL),
+            PermitOutcome::NotConnected => self.avoid = Some(now + AVOIDED),
+            PermitOutcome::Broken | PermitOutcome::Unused => {}
         }
     }
 }
--- a/crates/decide/src/pace.rs
+++ b/crates/decide/src/service_time.rs
@@ -5,7 +5,7 @@
 /// Weight of a new time in the average.
 const NEW_WEIGHT: f64 = 0.12;
 /// Time of an answer where none was seen, in seconds.
-pub const UNKNOWN: f64 = 0.1;
+pub const DEFAULT_SERVICE_TIME_S: f64 = 0.1;
 /// Weight of requests at the target: of those that run, the average one has half of its time left.
 const CROWD: f64 = 0.5;
 /// Cost of a target in another data centre in relation to one nearby.
@@ -13,42 +13,42 @@
 
 /// Moving average of the times of answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace(Option<f64>);
+pub struct ServiceTime(Option<f64>);
 
 /// What is known of a target when a request could go there.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outlook {
+pub struct TargetEstimate {
     /// Average time of its answers in seconds.
-    pub pace: f64,
+    pub service_time: f64,
     /// Requests that are there.
-    pub requests: f64,
+    pub in_flight: f64,
     /// Requests that it runs at the same time.
     pub slots: u32,
     /// Momentary slowness; 1 is as usual.
-    pub slowness: f64,
+    pub slowdown: f64,
     /// Whether it is in the data centre of the instance that sends.
-    pub near: bool,
+    pub same_data_centre: bool,
 }
 
-impl Pace {
+impl ServiceTime {
     /// Takes the time of an answer.
-    pub fn add(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         let average = self.0.unwrap_or(seconds);
         self.0 = Some(average + NEW_WEIGHT * (seconds - average));
     }
 
     /// Returns the average in seconds; `None` before the first answer.
-    pub fn get(self) -> Option<f64> {
+    pub fn seconds(self) -> Option<f64> {
         self.0
     }
 }
 
-impl Outlook {
+impl TargetEstimate {
     /// Returns the time after which a request would likely be answered, in seconds.
-    pub fn time(&self) -> f64 {
-        let crowd = 1.0 + CROWD * self.requests / f64::from(self.slots.max(1));
-        let far = if self.near { 1.0 } else { FAR };
-        self.pace * crowd * self.slowness * far
+    pub fn response_time(&self) -> f64 {
+        let crowd = 1.0 + CROWD * self.in_flight / f64::from(self.slots.max(1));
+        let far = if self.same_data_centre { 1.0 } else { FAR };
+        self.service_time * crowd * self.slowdown * far
     }
 }
--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -3,7 +3,9 @@
 mod seeds;
 
 use {
-    cowslip_decide::lead::{Lead, Mark, Moment, Seat, Step, Turn},
+    cowslip_decide::election::{
+        ClaimDelay, ElectionAction, LeaderElection, LeaderRow, LocalTime, StoreTimestamp,
+    },
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::time::Duration,
     tokio::time::Instant,
@@ -14,11 +16,11 @@
 
 /// One instance with its own clocks.
 struct Machine {
-    lead: Lead,
-    steady: Instant,
-    boot: Duration,
+    lead: LeaderElection,
+    monotonic: Instant,
+    since_boot: Duration,
     frozen: u32,
-    turn: Turn,
+    turn: ClaimDelay,
 }
 
 /// The row: its version and the machine that wrote it.
@@ -33,21 +35,21 @@
 }
 
 impl Machine {
-    fn now(&self) -> Moment {
-        Moment {
-            steady: self.steady,
-            boot: self.boot,
+    fn now(&self) -> LocalTime {
+        LocalTime {
+            monotonic: self.monotonic,
+            since_boot: self.since_boot,
         }
     }
 }
 
 impl Row {
-    fn seat(&self, reader: usize) -> Seat {
-        Seat {
+    fn seat(&self, reader: usize) -> LeaderRow {
+        LeaderRow {
             version: self.version,
-            own: self.writer == Some(reader),
-            vacant: false,
-            marked: self.marked,
+            is_own: self.writer == Some(reader),
+            released: false,
+            timestamp: self.marked,
         }
     }
 
@@ -63,10 +65,10 @@
 }
 
 /// Returns the turn of an instance before which so many others come.
-fn turn(rank: u32) -> Turn {
-    Turn {
-        after: rank * Duration::from_millis(150),
-        yields: rank > 1,
+fn turn(rank: u32) -> ClaimDelay {
+    ClaimDelay {
+        duration: rank * Duration::from_millis(150),
+        applies_to_own: rank > 1,
     }
 }
 
@@ -77,9 +79,9 @@
     let mut row = Row::default();
     let mut machines: Vec<Machine> = (0..4)
         .map(|rank| Machine {
-            lead: Lead::new(TERM),
-            steady: start,
-            boot: Duration::ZERO,
+            lead: LeaderElection::new(TERM),
+            monotonic: start,
+            since_boot: Duration::ZERO,
             frozen: 0,
             turn: turn(rank),
         })
@@ -101,56 +103,56 @@
             row.write(version, writer, said);
         }
         for (at, machine) in machines.iter_mut().enumerate() {
-            machine.boot += TICK;
+            machine.since_boot += TICK;
             if machine.frozen > 0 {
                 machine.frozen -= 1;
                 continue;
             }
-            machine.steady += TICK;
+            machine.monotonic += TICK;
             if rng.random_bool(0.002) {
                 machine.frozen = rng.random_range(1..160);
                 continue;
             }
             let now = machine.now();
-            let step = machine.lead.step(now, machine.turn);
+            let step = machine.lead.next_action(now, machine.turn);
             // The call was sent a little before the store answered it.
-            let told = Mark {
-                store: TICK * tick,
-                sent: now,
+            let told = StoreTimestamp {
+                store_time: TICK * tick,
+                sent_at: now,
             };
             if down > 0 {
                 continue;
             }
             match step {
-                Step::Rest if rng.random_bool(0.2) => {
-                    machine.lead.read(row.seat(at), now, Some(told))
+                ElectionAction::Wait if rng.random_bool(0.2) => {
+                    machine.lead.apply_row(row.seat(at), now, Some(told))
                 }
-                Step::Rest => {}
-                Step::Read => machine.lead.read(row.seat(at), now, Some(told)),
-                Step::Write { version } => {
-                    let Some(said) = machine.lead.mark() else {
-                        machine.lead.read(row.seat(at), now, Some(told));
+                ElectionAction::Wait => {}
+                ElectionAction::Read => machine.lead.apply_row(row.seat(at), now, Some(told)),
+                ElectionAction::Write { version } => {
+                    let Some(said) = machine.lead.store_timestamp() else {
+                        machine.lead.apply_row(row.seat(at), now, Some(told));
                         continue;
                     };
                     if lossy > 0 && rng.random_bool(0.4) {
-                        machine.lead.unanswered();
+                        machine.lead.mark_write_unanswered();
                         if rng.random_bool(0.5) {
-                            row.write(version, at, said.store);
+                            row.write(version, at, said.store_time);
                             continue;
                         }
                         let later = tick + rng.random_range(20..120);
-                        row.late.push((later, version, at, said.store));
-                    } else if row.write(version, at, said.store) {
+                        row.late.push((later, version, at, said.store_time));
+                    } else if row.write(version, at, said.store_time) {
                         // The machine may be suspended while the answer is on its way.
-                        machine.lead.written(said, row.version, told);
+                        machine.lead.confirm_write(said, row.version, told);
                     } else {
-                        machine.lead.read(row.seat(at), now, Some(told));
+                        machine.lead.apply_row(row.seat(at), now, Some(told));
                     }
                 }
             }
         }
         let acting: Vec<usize> = (0..machines.len())
-            .filter(|at| machines[*at].lead.leads(machines[*at].now()))
+            .filter(|at| machines[*at].lead.is_leader(machines[*at].now()))
             .collect();
         assert!(
             acting.len() < 2,
@@ -171,138 +173,163 @@
 #[test]
 fn a_machine_that_was_suspended_does_not_act_on_its_old_lease() {
     let start = Instant::now();
-    let mut lead = Lead::new(TERM);
-    let before = Moment {
-        steady: start,
-        boot: Duration::ZERO,
+    let mut lead = LeaderElection::new(TERM);
+    let before = LocalTime {
+        monotonic: start,
+        since_boot: Duration::ZERO,
     };
-    let mark = Mark {
-        store: Duration::ZERO,
-        sent: before,
+    let mark = StoreTimestamp {
+        store_time: Duration::ZERO,
+        sent_at: before,
     };
-    lead.written(mark, 1, mark);
-    assert!(lead.leads(before));
-    let after = Moment {
-        steady: start,
-        boot: TERM,
+    lead.confirm_write(mark, 1, mark);
+    assert!(lead.is_leader(before));
+    let after = LocalTime {
+        monotonic: start,
+        since_boot: TERM,
     };
-    assert!(!lead.leads(after));
-    assert_eq!(lead.step(after, Turn::default()), Step::Read);
+    assert!(!lead.is_leader(after));
+    assert_eq!(
+        lead.next_action(after, ClaimDelay::default()),
+        ElectionAction::Read
+    );
 }
 
 #[test]
 fn a_version_that_was_heard_counts_as_seen() {
     let start = Instant::now();
-    let at = |millis: u64| Moment {
-        steady: start + Duration::from_millis(millis),
-        boot: Duration::from_millis(millis),
+    let at = |millis: u64| LocalTime {
+        monotonic: start + Duration::from_millis(millis),
+        since_boot: Duration::from_millis(millis),
     };
-    let mut lead = Lead::new(TERM);
-    lead.hear(7, at(0));
-    assert_eq!(lead.step(at(2300), Turn::default()), Step::Rest);
+    let mut lead = LeaderElection::new(TERM);
+    lead.apply_heartbeat(7, at(0));
+    assert_eq!(
+        lead.next_action(at(2300), ClaimDelay::default()),
+        ElectionAction::Wait
+    );
     // A time of the store's clock comes first: the write has to say one.
-    assert_eq!(lead.step(at(2400), Turn::default()), Step::Read);
-    let seat = Seat {
+    assert_eq!(
+        lead.next_action(at(2400), ClaimDelay::default()),
+        ElectionAction::Read
+    );
+    let seat = LeaderRow {
         version: 7,
-        own: false,
-        vacant: false,
-        marked: None,
+        is_own: false,
+        released: false,
+        timestamp: None,
     };
-    let mark = Mark {
-        store: Duration::from_secs(50),
-        sent: at(2400),
+    let mark = StoreTimestamp {
+        store_time: Duration::from_secs(50),
+        sent_at: at(2400),
     };
-    lead.read(seat, at(2400), Some(mark));
-    let step = lead.step(at(2400), Turn::default());
-    assert_eq!(step, Step::Write { version: 7 });
+    lead.apply_row(seat, at(2400), Some(mark));
+    let step = lead.next_action(at(2400), ClaimDelay::default());
+    assert_eq!(step, ElectionAction::Write { version: 7 });
 }
 
 /// The time of the store's clock that a write says must not be older than the row that it replaces.
 #[test]
 fn a_version_that_was_only_heard_is_not_replaced() {
     let start = Instant::now();
-    let at = |millis: u64| Moment {
-        steady: start + Duration::from_millis(millis),
-        boot: Duration::from_millis(millis),
+    let at = |millis: u64| LocalTime {
+        monotonic: start + Duration::from_millis(millis),
+        since_boot: Duration::from_millis(millis),
     };
-    let row = Seat {
+    let row = LeaderRow {
         version: 6,
-        own: false,
-        vacant: false,
-        marked: Some(Duration::from_secs(50)),
+        is_own: false,
+        released: false,
+        timestamp: Some(Duration::from_secs(50)),
     };
-    let told = Mark {
-        store: Duration::from_secs(51),
-        sent: at(0),
+    let told = StoreTimestamp {
+        store_time: Duration::from_secs(51),
+        sent_at: at(0),
     };
-    let mut lead = Lead::new(TERM);
-    lead.read(row, at(0), Some(told));
-    lead.hear(7, at(100));
+    let mut lead = LeaderElection::new(TERM);
+    lead.apply_row(row, at(0), Some(told));
+    lead.apply_heartbeat(7, at(100));
     for millis in (100..10_000).step_by(50) {
-        let step = lead.step(at(millis), Turn::default());
-        assert!(!matches!(step, Step::Write { .. }), "after {millis} ms");
+        let step = lead.next_action(at(millis), ClaimDelay::default());
+        assert!(
+            !matches!(step, ElectionAction::Write { .. }),
+            "after {millis} ms"
+        );
     }
 }
 
 #[test]
 fn a_row_that_runs_out_is_taken_in_turn_after_a_last_look() {
     let start = Instant::now();
-    let at = |millis: u64| Moment {
-        steady: start + Duration::from_millis(millis),
-        boot: Duration::from_millis(millis),
+    let at = |millis: u64| LocalTime {
+        monotonic: start + Duration::from_millis(millis),
+        since_boot: Duration::from_millis(millis),
     };
-    let row = |own| Seat {
+    let row = |own| LeaderRow {
         version: 7,
-        own,
-        vacant: false,
-        marked: Some(Duration::from_secs(50)),
+        is_own: own,
+        released: false,
+        timestamp: Some(Duration::from_secs(50)),
     };
     // At the read 2,000 ms of the term of 2,400 have passed.
-    let told = Mark {
-        store: Duration::from_secs(52),
-        sent: at(0),
+    let told = StoreTimestamp {
+        store_time: Duration::from_secs(52),
+        sent_at: at(0),
     };
     for (rank, due) in [(0, 400), (1, 550)] {
-        let mut lead = Lead::new(TERM);
-        lead.read(row(false), at(0), Some(told));
-        assert_eq!(lead.step(at(due - 1), turn(rank)), Step::Rest);
-        assert_eq!(lead.step(at(due), turn(rank)), Step::Read, "rank {rank}");
-        let look = Mark {
-            store: told.store + Duration::from_millis(due),
-            sent: at(due),
+        let mut lead = LeaderElection::new(TERM);
+        lead.apply_row(row(false), at(0), Some(told));
+        assert_eq!(
+            lead.next_action(at(due - 1), turn(rank)),
+            ElectionAction::Wait
+        );
+        assert_eq!(
+            lead.next_action(at(due), turn(rank)),
+            ElectionAction::Read,
+            "rank {rank}"
+        );
+        let look = StoreTimestamp {
+            store_time: told.store_time + Duration::from_millis(due),
+            sent_at: at(due),
         };
-        lead.read(row(false), at(due), Some(look));
-        let step = lead.step(at(due), turn(rank));
-        assert_eq!(step, Step::Write { version: 7 }, "rank {rank}");
+        lead.apply_row(row(false), at(due), Some(look));
+        let step = lead.next_action(at(due), turn(rank));
+        assert_eq!(step, ElectionAction::Write { version: 7 }, "rank {rank}");
     }
     // Its own row is taken again at once, unless much stronger ones are there.
-    let mut lead = Lead::new(TERM);
-    lead.read(row(true), at(0), Some(told));
-    let step = lead.step(at(0), turn(1));
-    assert_eq!(step, Step::Write { version: 7 });
-    assert_eq!(lead.step(at(0), turn(3)), Step::Rest);
+    let mut lead = LeaderElection::new(TERM);
+    lead.apply_row(row(true), at(0), Some(told));
+    let step = lead.next_action(at(0), turn(1));
+    assert_eq!(step, ElectionAction::Write { version: 7 });
+    assert_eq!(lead.next_action(at(0), turn(3)), ElectionAction::Wait);
 }
 
 #[test]
 fn a_row_that_is_a_term_old_by_the_clock_of_the_store_is_taken_at_once() {
     // After a loss of all instances none has seen the row for long.
-    let now = Moment {
-        steady: Instant::now(),
-        boot: Duration::from_secs(100),
+    let now = LocalTime {
+        monotonic: Instant::now(),
+        since_boot: Duration::from_secs(100),
     };
-    let seat = Seat {
+    let seat = LeaderRow {
         version: 4,
-        own: false,
-        vacant: false,
-        marked: Some(Duration::from_secs(50)),
+        is_own: false,
+        released: false,
+        timestamp: Some(Duration::from_secs(50)),
     };
-    let told = |millis: u64| Mark {
-        store: Duration::from_secs(50) + Duration::from_millis(millis),
-        sent: now,
+    let told = |millis: u64| StoreTimestamp {
+        store_time: Duration::from_secs(50) + Duration::from_millis(millis),
+        sent_at: now,
     };
-    let mut lead = Lead::new(TERM);
-    lead.read(seat.clone(), now, Some(told(2300)));
-    assert_eq!(lead.step(now, Turn::default()), Step::Rest);
-    lead.read(seat, now, Some(told(2400)));
-    assert_eq!(lead.step(now, Turn::default()), Step::Write { version: 4 });
+    let mut lead = LeaderElection::new(TERM);
+    lead.apply_row(seat.clone(), now, Some(told(2300)));
+    assert_eq!(
+        lead.next_action(now, ClaimDelay::default()),
+        ElectionAction::Wait
+    );
+    lead.apply_row(seat, now, Some(told(2400)));
+    assert_eq!(
+        lead.next_action(now, ClaimDelay::default()),
+        ElectionAction::Write { version: 4 }
+    );
 }
