--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -195,7 +195,7 @@
     let seen = seen(request, &end);
     match seen {
         AttemptOutcome::Answered | AttemptOutcome::ServerError => unblock(context, request),
-        AttemptOutcome::WrongOwner => block(context, request),
+        AttemptOutcome::NotOwner => block(context, request),
         _ => {}
     }
     note_end(context, request, target, &end, seen);
@@ -225,9 +225,7 @@
     match end {
         End::Whole(whole) if whole.status.is_server_error() => AttemptOutcome::ServerError,
         End::Whole(_) => AttemptOutcome::Answered,
-        End::Unrun(signs) if signs.misdirected && request.key.is_some() => {
-            AttemptOutcome::WrongOwner
-        }
+        End::Unrun(signs) if signs.misdirected && request.key.is_some() => AttemptOutcome::NotOwner,
         End::Unrun(_) => AttemptOutcome::Refused,
         End::Unsent(_) => AttemptOutcome::Unsent,
         End::Broken(_) => AttemptOutcome::Broken,
@@ -237,7 +235,7 @@
 
 fn note_end(context: &Context, request: &Request, target: &Name, end: &End, seen: AttemptOutcome) {
     let (code, cause) = match (seen, end) {
-        (AttemptOutcome::WrongOwner, _) => (events::WRONG_OWNER, "owner moved"),
+        (AttemptOutcome::NotOwner, _) => (events::WRONG_OWNER, "owner moved"),
         (AttemptOutcome::Refused, _) => (events::TARGET_SHED, "refused"),
         (_, End::Unsent(cause)) => (events::NO_CONNECTION, cause.text()),
         (_, End::Broken(cause)) => (events::MAY_HAVE_RUN, *cause),
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -43,7 +43,7 @@
     /// The target answered that it failed.
     ServerError,
     /// The target does not own the key and did not run the request.
-    WrongOwner,
+    NotOwner,
     /// The target did not run the request.
     Refused,
     /// There was no connection.
@@ -114,7 +114,7 @@
                 self.run += 1;
                 NextAction::ReturnError(FinalError::TimedOut)
             }
-            AttemptOutcome::WrongOwner => match self.sends_again(MOST_UNSENT) && repeat() {
+            AttemptOutcome::NotOwner => match self.sends_again(MOST_UNSENT) && repeat() {
                 true => NextAction::RetryOnChange(LINK_WAIT),
                 false => NextAction::ReturnError(self.unrun(Reason::NoOwner)),
             },
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -30,7 +30,7 @@
         let all = [
             AttemptOutcome::Answered,
             AttemptOutcome::ServerError,
-            AttemptOutcome::WrongOwner,
+            AttemptOutcome::NotOwner,
             AttemptOutcome::Refused,
             AttemptOutcome::Unsent,
             AttemptOutcome::Broken,
@@ -43,7 +43,7 @@
 fn may_have_run(seen: AttemptOutcome) -> bool {
     !matches!(
         seen,
-        AttemptOutcome::WrongOwner | AttemptOutcome::Refused | AttemptOutcome::Unsent
+        AttemptOutcome::NotOwner | AttemptOutcome::Refused | AttemptOutcome::Unsent
     )
 }
 
@@ -88,7 +88,7 @@
     }
 
     fn sends_that_do_not_run_come_to_an_end(idempotent: bool, sharded: bool, wrong: bool) -> bool {
-        let end = if wrong { AttemptOutcome::WrongOwner } else { AttemptOutcome::Unsent };
+        let end = if wrong { AttemptOutcome::NotOwner } else { AttemptOutcome::Unsent };
         let kind = RetryPolicy { idempotent, sharded, max_attempts: 9 };
         let (seen, next, _) = play(kind, &[Any(end); 20], true);
         seen.len() <= 7 && matches!(next, Some(NextAction::ReturnError(FinalError::Refused(_))))
