--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -175,7 +175,7 @@
     let strongest = context.membership.borrow().strongest(own);
     ClaimDelay {
         duration: stagger(context, delay),
-        applies_to_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
+        includes_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
     }
 }
 
@@ -238,7 +238,7 @@
         version: row.map_or(0, |row| row.version),
         is_own: own,
         released: wire.as_ref().is_none_or(|it| it.run.is_empty()),
-        timestamp: wire
+        lease_start: wire
             .as_ref()
             .and_then(|it| it.told)
             .map(Duration::from_millis),
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -181,7 +181,7 @@
         in_flight: requests.max(f64::from(line.running.get())),
         slots,
         slowdown: 1.0,
-        same_data_centre: near,
+        is_local: near,
     };
     // Equal targets get equal parts.
     outlook.response_time() * rand::random_range(LUCK)
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -47,7 +47,7 @@
     /// Whether its holder gave it up.
     pub released: bool,
     /// Time of the store's clock that it says; `None` where it is not known.
-    pub timestamp: Option<Duration>,
+    pub lease_start: Option<Duration>,
 }
 
 /// What to do next.
@@ -70,7 +70,7 @@
     /// Time that it leaves to others.
     pub duration: Duration,
     /// Whether it leaves that time to them also where the row is its own.
-    pub applies_to_own: bool,
+    pub includes_own: bool,
 }
 
 /// Leadership as one instance sees it.
@@ -158,7 +158,7 @@
         }
         let due = match &self.held {
             Some(held) => held.next,
-            None if seat.is_own && !turn.applies_to_own => now.monotonic,
+            None if seat.is_own && !turn.includes_own => now.monotonic,
             None => self.free(seat, *since) + turn.duration,
         };
         if now.monotonic < due {
@@ -200,7 +200,7 @@
             self.mark = Some(mark);
         }
         let age = mark
-            .zip(seat.timestamp)
+            .zip(seat.lease_start)
             .map(|(mark, marked)| mark.store_time.saturating_sub(marked));
         let left = age.map(|age| self.term.saturating_sub(age));
         let lapse = left.map(|left| now.monotonic + left);
@@ -221,7 +221,7 @@
                 version,
                 is_own: false,
                 released: false,
-                timestamp: None,
+                lease_start: None,
             };
             self.lapse = None;
             self.see(seat, now.monotonic);
@@ -235,7 +235,7 @@
             version,
             is_own: true,
             released: false,
-            timestamp: Some(said.store_time),
+            lease_start: Some(said.store_time),
         };
         self.see(seat, told.sent_at.monotonic);
         self.mark = Some(told);
--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -365,7 +365,7 @@
             in_flight: self.running.len() as f64,
             slots: self.member.slots,
             slowdown: slowness,
-            same_data_centre: ask.data_centre == self.member.data_centre,
+            is_local: ask.data_centre == self.member.data_centre,
         };
         outlook.response_time()
     }
--- a/crates/decide/src/service_time.rs
+++ b/crates/decide/src/service_time.rs
@@ -27,7 +27,7 @@
     /// Momentary slowness; 1 is as usual.
     pub slowdown: f64,
     /// Whether it is in the data centre of the instance that sends.
-    pub same_data_centre: bool,
+    pub is_local: bool,
 }
 
 impl ServiceTime {
@@ -48,7 +48,7 @@
     /// Returns the time after which a request would likely be answered, in seconds.
     pub fn response_time(&self) -> f64 {
         let crowd = 1.0 + CROWD * self.in_flight / f64::from(self.slots.max(1));
-        let far = if self.same_data_centre { 1.0 } else { FAR };
+        let far = if self.is_local { 1.0 } else { FAR };
         self.service_time * crowd * self.slowdown * far
     }
 }
--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -49,7 +49,7 @@
             version: self.version,
             is_own: self.writer == Some(reader),
             released: false,
-            timestamp: self.marked,
+            lease_start: self.marked,
         }
     }
 
@@ -68,7 +68,7 @@
 fn turn(rank: u32) -> ClaimDelay {
     ClaimDelay {
         duration: rank * Duration::from_millis(150),
-        applies_to_own: rank > 1,
+        includes_own: rank > 1,
     }
 }
 
@@ -217,7 +217,7 @@
         version: 7,
         is_own: false,
         released: false,
-        timestamp: None,
+        lease_start: None,
     };
     let mark = StoreTimestamp {
         store_time: Duration::from_secs(50),
@@ -240,7 +240,7 @@
         version: 6,
         is_own: false,
         released: false,
-        timestamp: Some(Duration::from_secs(50)),
+        lease_start: Some(Duration::from_secs(50)),
     };
     let told = StoreTimestamp {
         store_time: Duration::from_secs(51),
@@ -269,7 +269,7 @@
         version: 7,
         is_own: own,
         released: false,
-        timestamp: Some(Duration::from_secs(50)),
+        lease_start: Some(Duration::from_secs(50)),
     };
     // At the read 2,000 ms of the term of 2,400 have passed.
     let told = StoreTimestamp {
@@ -315,7 +315,7 @@
         version: 4,
         is_own: false,
         released: false,
-        timestamp: Some(Duration::from_secs(50)),
+        lease_start: Some(Duration::from_secs(50)),
     };
     let told = |millis: u64| StoreTimestamp {
         store_time: Duration::from_secs(50) + Duration::from_millis(millis),
