--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -1,8 +1,9 @@
-//! Permits to send to the targets of a pool: one instance counts their slots and orders who waits.
+//! Permits to send to the targets of a pool: a coordinator counts the targets' slots and queues
+//! requests by priority.
 //!
-//! Answers the load in which many instances send to few slots: none of them sees what the others
-//! have sent, so that targets shed, or queue by arrival what should go by rank. Permits protect
-//! nothing but time: an instance that hears nothing of the holder sends without one.
+//! When many instances send to few slots, none of them sees what the others have sent, so that
+//! targets shed requests or queue them by arrival instead of priority. Permits only save time and
+//! guarantee nothing else: an instance whose coordinator does not answer sends without one.
 
 use {
     crate::{
@@ -14,101 +15,101 @@
     tokio::time::Instant,
 };
 
-/// Requests beyond its slots that a target gets while others wait: the next one is then at hand
+/// Requests beyond its slots that a target gets while others wait, so that the next one is at hand
 /// when a slot becomes free.
-const AHEAD: u32 = 1;
-/// Time beyond its deadline after which a permit that was not returned is void.
-const VOID: Duration = Duration::from_millis(300);
-/// Time for which a target that took no connection is passed over.
-const AVOIDED: Duration = Duration::from_millis(700);
-/// Time for which a target that shed a request gets no more than it has.
-const FULL: Duration = Duration::from_millis(100);
-/// Age at which a target's momentary slowness says nothing any more.
-const SLOWNESS_AGE: Duration = Duration::from_millis(300);
+const EXTRA_REQUESTS: u32 = 1;
+/// Time after the deadline of its request at which a permit expires that was not returned.
+const PERMIT_GRACE: Duration = Duration::from_millis(300);
+/// Time for which a target gets no requests after a failure to connect to it.
+const CONNECT_FAILURE_PAUSE: Duration = Duration::from_millis(700);
+/// Time for which a target gets no more requests after it shed one.
+const SHED_PAUSE: Duration = Duration::from_millis(100);
+/// Age from which a reported slowdown is ignored.
+const MAX_SLOWDOWN_AGE: Duration = Duration::from_millis(300);
 /// Part of the expected wait after which a refused caller should come back.
-const COME_BACK: f64 = 0.5;
-/// Part of the average time of an answer for which there must be time left.
-const LEAST_LEFT: f64 = 0.8;
-/// Shortest advice when to come back.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
+const RETRY_AFTER_RATIO: f64 = 0.5;
+/// Part of the mean service time that must be left before the deadline.
+const MIN_SERVICE_RATIO: f64 = 0.8;
+/// Shortest time after which a refused caller is told to come back.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Who asks: an instance and its number for the request.
+/// Identifies a permit request: the instance that asks, and its number for the request.
 pub type PermitRequestId<A> = (A, u64);
 
-/// What a request asks for.
+/// Request of an instance for a permit.
 #[derive(Clone, Debug)]
 pub struct PermitRequest {
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Time within which its answer earns its full worth.
+    /// Time up to which an answer is worth most.
     pub latency_goal: Instant,
-    /// Time by which its caller wants the answer.
+    /// Time by which the caller needs the answer.
     pub deadline: Instant,
     /// Data centre of the instance that asks.
     pub data_centre: Name,
-    /// Targets that did not serve it before.
+    /// Targets that must not be chosen.
     pub excluded: Vec<Name>,
 }
 
-/// What the holder tells an asker.
+/// Reply of the coordinator to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitReply {
     /// Send to this target now.
     Granted(Name),
-    /// Wait.
+    /// Wait for another reply.
     Queued,
-    /// The request cannot be served in time; come back after this.
+    /// The request cannot be served in time; come back after this time.
     Refused(Duration),
 }
 
-/// How the request of a permit ended.
+/// How the request with a permit ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitOutcome {
     /// The target answered.
     Served,
-    /// The target refused it without running it.
+    /// The target refused the request without running it.
     Shed,
-    /// It was not sent, for no fault of the target.
+    /// The request did not run, and this says nothing about the target.
     Unused,
-    /// The target took no connection.
+    /// No connection to the target could be opened.
     NotConnected,
-    /// There was no whole answer.
+    /// No whole answer came.
     Broken,
 }
 
-/// A target of the pool as the holder knows it.
+/// What the coordinator is told about a target of the pool.
 #[derive(Clone, Debug)]
 pub struct PoolTarget {
-    /// Requests that it runs at the same time.
+    /// Requests that the target runs concurrently.
     pub slots: u32,
-    /// Data centre.
+    /// Data centre of the target.
     pub data_centre: Name,
-    /// Requests a second while it is cold; `None` for a warm one.
+    /// Requests per second while the target is cold; `None` for a warm one.
     pub cold_rate: Option<f64>,
 }
 
-/// The holder's view of a pool of targets.
+/// Coordinator's state of a pool of targets; `A` identifies an instance.
 #[derive(Debug)]
 pub struct Pool<A: Ord> {
-    targets: BTreeMap<Name, Target<A>>,
+    targets: BTreeMap<Name, TargetState<A>>,
     queue: Vec<(PermitRequestId<A>, PermitRequest)>,
 }
 
 #[derive(Debug)]
-struct Target<A: Ord> {
-    member: PoolTarget,
-    running: BTreeMap<PermitRequestId<A>, Permit>,
-    pace: ServiceTime,
-    slowness: Option<(f64, Instant)>,
-    avoid: Option<Instant>,
-    full: Option<Instant>,
-    tokens: Option<TokenBucket>,
+struct TargetState<A: Ord> {
+    info: PoolTarget,
+    permits: BTreeMap<PermitRequestId<A>, Permit>,
+    service_time: ServiceTime,
+    slowdown: Option<(f64, Instant)>,
+    connect_pause: Option<Instant>,
+    shed_pause: Option<Instant>,
+    cold_tokens: Option<TokenBucket>,
 }
 
 #[derive(Debug)]
 struct Permit {
-    since: Instant,
-    void: Instant,
+    granted_at: Instant,
+    expires_at: Instant,
 }
 
 impl<A: Ord + Clone> Default for Pool<A> {
@@ -121,192 +122,197 @@
 }
 
 impl<A: Ord + Clone> Pool<A> {
-    /// Takes the targets that may be sent to; permits of those that are not there any more end.
-    pub fn update_targets(&mut self, members: &BTreeMap<Name, PoolTarget>, now: Instant) {
-        self.targets.retain(|name, _| members.contains_key(name));
-        for (name, member) in members {
-            let target = self.targets.entry(name.clone()).or_insert_with(|| Target {
-                member: member.clone(),
-                running: BTreeMap::new(),
-                pace: ServiceTime::default(),
-                slowness: None,
-                avoid: None,
-                full: None,
-                tokens: None,
-            });
-            target.member = member.clone();
-            match member.cold_rate {
-                None => target.tokens = None,
-                Some(_) if target.tokens.is_some() => {}
-                Some(_) => target.tokens = Some(TokenBucket::new(1.0, now)),
+    /// Replaces the targets that may be sent to; permits for removed targets end.
+    pub fn update_targets(&mut self, pool_targets: &BTreeMap<Name, PoolTarget>, now: Instant) {
+        self.targets
+            .retain(|name, _| pool_targets.contains_key(name));
+        for (name, info) in pool_targets {
+            let target = self
+                .targets
+                .entry(name.clone())
+                .or_insert_with(|| TargetState {
+                    info: info.clone(),
+                    permits: BTreeMap::new(),
+                    service_time: ServiceTime::default(),
+                    slowdown: None,
+                    connect_pause: None,
+                    shed_pause: None,
+                    cold_tokens: None,
+                });
+            target.info = info.clone();
+            match info.cold_rate {
+                None => target.cold_tokens = None,
+                Some(_) if target.cold_tokens.is_some() => {}
+                Some(_) => target.cold_tokens = Some(TokenBucket::new(1.0, now)),
             }
         }
     }
 
-    /// Returns whether nobody waits and no permit is out.
+    /// Returns whether no request is queued and no permit is in use.
     pub fn is_idle(&self) -> bool {
-        self.queue.is_empty() && self.targets.values().all(|it| it.running.is_empty())
+        self.queue.is_empty() && self.targets.values().all(|it| it.permits.is_empty())
     }
 
-    /// Returns whether someone waits or has a permit.
-    pub fn has_request(&self, asker: &PermitRequestId<A>) -> bool {
-        let waits = self.queue.iter().any(|(known, _)| known == asker);
-        waits || self.holds(asker).is_some()
+    /// Returns whether a request is queued or has a permit.
+    pub fn has_request(&self, id: &PermitRequestId<A>) -> bool {
+        let is_queued = self.queue.iter().any(|(queued, _)| queued == id);
+        is_queued || self.find_permit(id).is_some()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the average time of a target's answers in seconds.
+    /// Returns the smoothed service time of a target in seconds; `None` before its first answer.
     pub fn service_time(&self, target: &str) -> Option<f64> {
-        self.targets.get(target)?.pace.seconds()
+        self.targets.get(target)?.service_time.seconds()
     }
 
-    /// Takes a question; a repeated one gets the reply as it stands.
+    /// Grants a permit, or queues or refuses the request; a repeated one gets its present reply.
     pub fn request_permit(
         &mut self,
-        asker: PermitRequestId<A>,
-        ask: PermitRequest,
+        id: PermitRequestId<A>,
+        request: PermitRequest,
         now: Instant,
     ) -> PermitReply {
-        if let Some(target) = self.holds(&asker) {
+        if let Some(target) = self.find_permit(&id) {
             return PermitReply::Granted(target);
         }
-        if self.queue.iter().any(|(known, _)| *known == asker) {
+        if self.queue.iter().any(|(queued, _)| *queued == id) {
             return PermitReply::Queued;
         }
         let ahead = self
             .queue
             .iter()
-            .filter(|(_, it)| it.priority <= ask.priority);
+            .filter(|(_, it)| it.priority <= request.priority);
         let ahead = ahead.count();
         if ahead == 0
-            && let Some(target) = self.pick(&ask, now)
+            && let Some(target) = self.choose_target(&request, now)
         {
-            self.permit(asker, &ask, &target, now);
+            self.add_permit(id, &request, &target, now);
             return PermitReply::Granted(target);
         }
-        if let Some(wait) = self.too_late(ahead, &ask, now) {
+        if let Some(wait) = self.refusal_wait(ahead, &request, now) {
             return PermitReply::Refused(wait);
         }
-        self.queue.push((asker, ask));
+        self.queue.push((id, request));
         PermitReply::Queued
     }
 
-    /// Takes the end of a request with a permit, or of one that waits no longer.
+    /// Removes a request that has ended or is no longer waiting, and its permit if it has one.
+    ///
+    /// `slowdown` is what the target reported with its answer.
     pub fn finish_request(
         &mut self,
-        asker: &PermitRequestId<A>,
+        id: &PermitRequestId<A>,
         outcome: PermitOutcome,
-        slowness: Option<f64>,
+        slowdown: Option<f64>,
         now: Instant,
     ) {
-        self.queue.retain(|(known, _)| known != asker);
+        self.queue.retain(|(queued, _)| queued != id);
         for target in self.targets.values_mut() {
-            if let Some(permit) = target.running.remove(asker) {
-                target.ended(outcome, now - permit.since, slowness, now);
+            if let Some(permit) = target.permits.remove(id) {
+                target.record_outcome(outcome, now - permit.granted_at, slowdown, now);
             }
         }
     }
 
-    /// Returns the replies to those that waited: permits for free slots, and refusals of those that
-    /// cannot be served in time any more.
+    /// Removes expired permits and returns the replies to queued requests: permits for free slots,
+    /// and refusals of those that can no longer be served in time.
     pub fn process_queue(&mut self, now: Instant) -> Vec<(PermitRequestId<A>, PermitReply)> {
         for target in self.targets.values_mut() {
-            target.running.retain(|_, permit| permit.void > now);
+            target.permits.retain(|_, permit| permit.expires_at > now);
         }
         let mut replies = Vec::new();
-        // Those that can still earn their full worth go first within their rank.
-        let soon = Duration::from_secs_f64(self.usual());
-        self.queue.sort_by_key(|(_, ask)| {
+        // Within a priority, requests that can still meet their latency goal go first.
+        let expected = Duration::from_secs_f64(self.mean_service_time());
+        self.queue.sort_by_key(|(_, request)| {
             (
-                ask.priority,
-                ask.latency_goal < now + soon,
-                ask.latency_goal,
+                request.priority,
+                request.latency_goal < now + expected,
+                request.latency_goal,
             )
         });
-        let mut at = 0;
-        while at < self.queue.len() {
-            let ask = self.queue[at].1.clone();
-            let Some(target) = self.pick(&ask, now) else {
-                at += 1;
+        let mut index = 0;
+        while index < self.queue.len() {
+            let request = self.queue[index].1.clone();
+            let Some(target) = self.choose_target(&request, now) else {
+                index += 1;
                 continue;
             };
-            let (asker, _) = self.queue.remove(at);
-            self.permit(asker.clone(), &ask, &target, now);
-            replies.push((asker, PermitReply::Granted(target)));
+            let (id, _) = self.queue.remove(index);
+            self.add_permit(id.clone(), &request, &target, now);
+            replies.push((id, PermitReply::Granted(target)));
         }
-        replies.extend(self.give_up(now));
+        replies.extend(self.refuse_late_requests(now));
         replies
     }
 
-    /// Refuses those that will not get a slot in time, in the order in which they would be served.
-    fn give_up(&mut self, now: Instant) -> Vec<(PermitRequestId<A>, PermitReply)> {
+    /// Removes queued requests that will not get a slot in time, and returns their refusals.
+    fn refuse_late_requests(&mut self, now: Instant) -> Vec<(PermitRequestId<A>, PermitReply)> {
         let mut replies = Vec::new();
-        let mut at = 0;
-        while at < self.queue.len() {
-            match self.too_late(at, &self.queue[at].1, now) {
+        let mut index = 0;
+        while index < self.queue.len() {
+            match self.refusal_wait(index, &self.queue[index].1, now) {
                 Some(wait) => {
-                    let (asker, _) = self.queue.remove(at);
-                    replies.push((asker, PermitReply::Refused(wait)));
+                    let (id, _) = self.queue.remove(index);
+                    replies.push((id, PermitReply::Refused(wait)));
                 }
-                None => at += 1,
+                None => index += 1,
             }
         }
         replies
     }
 
-    fn holds(&self, asker: &PermitRequestId<A>) -> Option<Name> {
+    /// Returns the target for which a request has a permit.
+    fn find_permit(&self, id: &PermitRequestId<A>) -> Option<Name> {
         let mut targets = self.targets.iter();
-        let found = targets.find(|(_, target)| target.running.contains_key(asker));
+        let found = targets.find(|(_, target)| target.permits.contains_key(id));
         found.map(|(name, _)| name.clone())
     }
 
-    fn permit(
+    fn add_permit(
         &mut self,
-        asker: PermitRequestId<A>,
-        ask: &PermitRequest,
+        id: PermitRequestId<A>,
+        request: &PermitRequest,
         target: &Name,
         now: Instant,
     ) {
         if let Some(target) = self.targets.get_mut(target) {
             let permit = Permit {
-                since: now,
-                void: ask.deadline + VOID,
+                granted_at: now,
+                expires_at: request.deadline + PERMIT_GRACE,
             };
-            target.running.insert(asker, permit);
+            target.permits.insert(id, permit);
         }
     }
 
-    /// Returns the target with a free slot at which the request ends soonest; a cold one only where
-    /// no warm one is open, and at its own rate.
-    fn pick(&mut self, ask: &PermitRequest, now: Instant) -> Option<Name> {
-        let usual = self.usual();
-        let backlog = !self.queue.is_empty();
-        let open = |(name, target): &(&Name, &Target<A>)| {
-            !ask.excluded.contains(name) && target.is_open(backlog, now)
+    /// Returns the target that may get the request and is expected to answer it first. Cold targets
+    /// are chosen only if the pool has no warm one, each at its own rate.
+    fn choose_target(&mut self, request: &PermitRequest, now: Instant) -> Option<Name> {
+        let mean = self.mean_service_time();
+        let has_queue = !self.queue.is_empty();
+        let accepts = |(name, target): &(&Name, &TargetState<A>)| {
+            !request.excluded.contains(name) && target.can_accept(has_queue, now)
         };
-        let cost = |target: &Target<A>| target.cost(ask, usual, now);
-        let warm = self.targets.iter().filter(open);
-        let warm = warm.filter(|(_, target)| target.member.cold_rate.is_none());
+        let cost = |target: &TargetState<A>| target.cost(request, mean, now);
+        let warm = self.targets.iter().filter(accepts);
+        let warm = warm.filter(|(_, target)| target.info.cold_rate.is_none());
         let best = warm.min_by(|(_, a), (_, b)| cost(a).total_cmp(&cost(b)));
         if let Some((name, _)) = best {
             return Some(name.clone());
         }
-        let any_warm = self
-            .targets
-            .values()
-            .any(|it| it.member.cold_rate.is_none());
+        let any_warm = self.targets.values().any(|it| it.info.cold_rate.is_none());
         if any_warm {
             return None;
         }
         let cold = self.targets.iter_mut();
-        let cold = cold.filter(|(name, it)| !ask.excluded.contains(name) && it.is_open(false, now));
+        let cold =
+            cold.filter(|(name, it)| !request.excluded.contains(name) && it.can_accept(false, now));
         for (name, target) in cold {
-            let rate = target.member.cold_rate.unwrap_or_default();
-            let tokens = target.tokens.as_mut()?;
+            let rate = target.info.cold_rate.unwrap_or_default();
+            let tokens = target.cold_tokens.as_mut()?;
             if tokens.try_take(rate, now).is_ok() {
                 return Some(name.clone());
             }
@@ -314,79 +320,91 @@
         None
     }
 
-    /// Returns when to come back if a request behind `ahead` others would be served too late.
-    fn too_late(&self, ahead: usize, ask: &PermitRequest, now: Instant) -> Option<Duration> {
-        let slots: u32 = self.targets.values().map(|it| it.member.slots).sum();
-        let pace = self.usual();
-        let left = ask.deadline.saturating_duration_since(now).as_secs_f64();
+    /// Returns the time after which the caller should come back, if a request behind `ahead` others
+    /// cannot be served in time.
+    fn refusal_wait(
+        &self,
+        ahead: usize,
+        request: &PermitRequest,
+        now: Instant,
+    ) -> Option<Duration> {
+        let slots: u32 = self.targets.values().map(|it| it.info.slots).sum();
+        let service_time = self.mean_service_time();
+        let remaining = request
+            .deadline
+            .saturating_duration_since(now)
+            .as_secs_f64();
         if slots == 0 {
-            return (left < LEAST_LEFT * pace).then_some(LEAST_WAIT);
+            return (remaining < MIN_SERVICE_RATIO * service_time).then_some(MIN_RETRY_AFTER);
         }
-        let running: usize = self.targets.values().map(|it| it.running.len()).sum();
-        // Of the requests that run, the average one has half of its time left.
-        let queue = ahead as f64 + 0.5 * running.min(slots as usize) as f64;
-        let wait = queue * pace / f64::from(slots);
-        (wait + LEAST_LEFT * pace > left)
-            .then(|| LEAST_WAIT.max(Duration::from_secs_f64(wait * COME_BACK)))
+        let permits: usize = self.targets.values().map(|it| it.permits.len()).sum();
+        // On average a running request has half of its service time left.
+        let queue = ahead as f64 + 0.5 * permits.min(slots as usize) as f64;
+        let wait = queue * service_time / f64::from(slots);
+        (wait + MIN_SERVICE_RATIO * service_time > remaining)
+            .then(|| MIN_RETRY_AFTER.max(Duration::from_secs_f64(wait * RETRY_AFTER_RATIO)))
     }
 
-    /// Returns the average time of the pool's answers in seconds.
-    fn usual(&self) -> f64 {
-        let paces: Vec<f64> = self
+    /// Returns the mean of the targets' service times in seconds.
+    fn mean_service_time(&self) -> f64 {
+        let times: Vec<f64> = self
             .targets
             .values()
-            .filter_map(|it| it.pace.seconds())
+            .filter_map(|it| it.service_time.seconds())
             .collect();
-        match paces.len() {
+        match times.len() {
             0 => service_time::DEFAULT_SERVICE_TIME_S,
-            count => paces.iter().sum::<f64>() / count as f64,
+            count => times.iter().sum::<f64>() / count as f64,
         }
     }
 }
 
-impl<A: Ord> Target<A> {
-    fn is_open(&self, backlog: bool, now: Instant) -> bool {
-        let blocked = |until: Option<Instant>| until.is_some_and(|until| until > now);
-        if blocked(self.avoid) || blocked(self.full) {
+impl<A: Ord> TargetState<A> {
+    fn can_accept(&self, has_queue: bool, now: Instant) -> bool {
+        let is_paused = |until: Option<Instant>| until.is_some_and(|until| until > now);
+        if is_paused(self.connect_pause) || is_paused(self.shed_pause) {
             return false;
         }
-        let ahead = if backlog { AHEAD } else { 0 };
-        (self.running.len() as u32) < self.member.slots + ahead
+        let extra = if has_queue { EXTRA_REQUESTS } else { 0 };
+        (self.permits.len() as u32) < self.info.slots + extra
     }
 
-    /// Returns the time after which a request would likely end, in seconds.
-    fn cost(&self, ask: &PermitRequest, usual: f64, now: Instant) -> f64 {
-        let slowness = match self.slowness {
-            Some((slowness, at)) if now - at < SLOWNESS_AGE => slowness.clamp(0.5, 5.0),
+    /// Returns the expected response time in seconds; `mean` stands in for a service time that is
+    /// not known yet.
+    fn cost(&self, request: &PermitRequest, mean: f64, now: Instant) -> f64 {
+        let slowdown = match self.slowdown {
+            Some((slowdown, reported_at)) if now - reported_at < MAX_SLOWDOWN_AGE => {
+                slowdown.clamp(0.5, 5.0)
+            }
             _ => 1.0,
         };
-        let outlook = TargetEstimate {
-            service_time: self.pace.seconds().unwrap_or(usual),
-            in_flight: self.running.len() as f64,
-            slots: self.member.slots,
-            slowdown: slowness,
-            is_local: ask.data_centre == self.member.data_centre,
+        let estimate = TargetEstimate {
+            service_time: self.service_time.seconds().unwrap_or(mean),
+            in_flight: self.permits.len() as f64,
+            slots: self.info.slots,
+            slowdown,
+            is_local: request.data_centre == self.info.data_centre,
         };
-        outlook.response_time()
+        estimate.response_time()
     }
 
-    fn ended(
+    fn record_outcome(
         &mut self,
         outcome: PermitOutcome,
         time: Duration,
-        slowness: Option<f64>,
+        slowdown: Option<f64>,
         now: Instant,
     ) {
-        if let Some(slowness) = slowness {
-            self.slowness = Some((slowness, now));
+        if let Some(slowdown) = slowdown {
+            self.slowdown = Some((slowdown, now));
         }
         match outcome {
             PermitOutcome::Served => {
-                self.pace.record(time);
-                self.full = None;
+                self.service_time.record(time);
+                self.shed_pause = None;
             }
-            PermitOutcome::Shed => self.full = Some(now + FULL),
-            PermitOutcome::NotConnected => self.avoid = Some(now + AVOIDED),
+            PermitOutcome::Shed => self.shed_pause = Some(now + SHED_PAUSE),
+            PermitOutcome::NotConnected => self.connect_pause = Some(now + CONNECT_FAILURE_PAUSE),
             PermitOutcome::Broken | PermitOutcome::Unused => {}
         }
     }
