--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -22,7 +22,7 @@
 const PERMIT_GRACE: Duration = Duration::from_millis(300);
 /// Time for which a target gets no requests after a failure to connect to it.
 const CONNECT_FAILURE_PAUSE: Duration = Duration::from_millis(700);
-/// Time for which a target gets no more requests after it shed one.
+/// Time for which a target gets no more requests after it shed one, unless it answers another.
 const SHED_PAUSE: Duration = Duration::from_millis(100);
 /// Age from which a reported slowdown is ignored.
 const MAX_SLOWDOWN_AGE: Duration = Duration::from_millis(300);
@@ -100,8 +100,11 @@
     info: PoolTarget,
     permits: BTreeMap<PermitRequestId<A>, Permit>,
     service_time: ServiceTime,
+    /// Slowdown as last reported, and when.
     slowdown: Option<(f64, Instant)>,
+    /// End of the pause after a failure to connect.
     connect_pause: Option<Instant>,
+    /// End of the pause after a shed request.
     shed_pause: Option<Instant>,
     cold_tokens: Option<TokenBucket>,
 }
@@ -373,9 +376,7 @@
     /// not known yet.
     fn cost(&self, request: &PermitRequest, mean: f64, now: Instant) -> f64 {
         let slowdown = match self.slowdown {
-            Some((slowdown, reported_at)) if now - reported_at < MAX_SLOWDOWN_AGE => {
-                slowdown.clamp(0.5, 5.0)
-            }
+            Some((slowdown, time)) if now - time < MAX_SLOWDOWN_AGE => slowdown.clamp(0.5, 5.0),
             _ => 1.0,
         };
         let estimate = TargetEstimate {
