--- /dev/null
+++ b/crates/decide/src/limits.rs
@@ -0,0 +1,115 @@
+//! Limits that all instances keep together although each one counts only its own requests.
+
+use {std::time::Duration, tokio::time::Instant};
+
+/// Slices of the sliding window.
+const WINDOW_SLICES: usize = 10;
+/// Part of the budget that is used, as the instances do not know each other's requests.
+const USABLE_RATIO: f64 = 0.7;
+
+/// Retry budget of a service within a sliding window.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryBudget {
+    /// Retries for each request.
+    pub ratio: f64,
+    /// Retries beyond that, of all instances together.
+    pub slack: f64,
+    /// Length of the window.
+    pub window: Duration,
+}
+
+/// Requests and retries of one instance to one service within the last window.
+#[derive(Debug)]
+pub struct RetryWindow {
+    start: Instant,
+    slice: u64,
+    requests: [u32; WINDOW_SLICES],
+    retries: [u32; WINDOW_SLICES],
+}
+
+impl RetryWindow {
+    /// Creates an empty window.
+    pub fn new(now: Instant) -> Self {
+        Self {
+            start: now,
+            slice: 0,
+            requests: [0; WINDOW_SLICES],
+            retries: [0; WINDOW_SLICES],
+        }
+    }
+
+    /// Counts a request of a caller.
+    pub fn add_request(&mut self, budget: &RetryBudget, now: Instant) {
+        let index = self.advance(budget, now);
+        self.requests[index] += 1;
+    }
+
+    /// Counts a retry and returns `true`, or returns `false` if this instance's share of the budget
+    /// is used up.
+    pub fn try_add_retry(&mut self, budget: &RetryBudget, instances: u32, now: Instant) -> bool {
+        let index = self.advance(budget, now);
+        let requests: u32 = self.requests.iter().sum();
+        let retries: u32 = self.retries.iter().sum();
+        let slack = budget.slack / f64::from(instances.max(1));
+        let limit = USABLE_RATIO * (budget.ratio * f64::from(requests) + slack);
+        if f64::from(retries + 1) > limit {
+            return false;
+        }
+        self.retries[index] += 1;
+        true
+    }
+
+    /// Clears the slices that have left the window; returns the index of the present one.
+    fn advance(&mut self, budget: &RetryBudget, now: Instant) -> usize {
+        let slice_length = budget.window.as_secs_f64() / WINDOW_SLICES as f64;
+        let slice = (now.duration_since(self.start).as_secs_f64() / slice_length) as u64;
+        let passed = slice.saturating_sub(self.slice).min(WINDOW_SLICES as u64);
+        for step in 1..=passed {
+            let index = ((self.slice + step) % WINDOW_SLICES as u64) as usize;
+            self.requests[index] = 0;
+            self.retries[index] = 0;
+        }
+        if passed == WINDOW_SLICES as u64 {
+            self.requests = [0; WINDOW_SLICES];
+            self.retries = [0; WINDOW_SLICES];
+        }
+        self.slice = self.slice.max(slice);
+        (self.slice % WINDOW_SLICES as u64) as usize
+    }
+}
+
+/// Token bucket of size 1: the rate limit of one instance at a cold target.
+///
+/// `initial` lets instances start at different levels, so that those which find the same target cold
+/// do not all send at once.
+#[derive(Debug)]
+pub struct TokenBucket {
+    level: f64,
+    updated_at: Instant,
+}
+
+impl TokenBucket {
+    /// Creates a bucket with the level `initial`, 0 to 1.
+    pub fn new(initial: f64, now: Instant) -> Self {
+        Self {
+            level: initial,
+            updated_at: now,
+        }
+    }
+
+    /// Takes a token, of which the bucket gets `rate` a second.
+    ///
+    /// # Errors
+    /// Returns the time to wait if there is none.
+    pub fn try_take(&mut self, rate: f64, now: Instant) -> Result<(), Duration> {
+        let elapsed = now.duration_since(self.updated_at).as_secs_f64();
+        self.level = (self.level + elapsed * rate).min(1.0);
+        self.updated_at = now;
+        if self.level >= 1.0 {
+            self.level -= 1.0;
+            return Ok(());
+        }
+        let wait = (1.0 - self.level) / rate.max(f64::MIN_POSITIVE);
+        Err(Duration::from_secs_f64(wait.min(60.0)))
+    }
+}
