--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -14,7 +14,7 @@
     cowslip_decide::{
         lead::Lead,
         names::{Incarnation, Name},
-        owners::{Former, Life, Piece, Present, Table},
+        owners::{Assignment, AssignmentTable, PreviousLeaders, StoreTimeBound, TargetIncarnation},
         share::{Bound, Share},
         split::Dealer,
     },
@@ -48,7 +48,7 @@
     /// Version of the row.
     pub version: u64,
     /// Owners.
-    pub table: Rc<Table>,
+    pub table: Rc<AssignmentTable>,
     /// What the leader changed last, if this instance is the leader.
     pub change: Option<Change>,
 }
@@ -59,7 +59,7 @@
     /// Version before it.
     pub base: u64,
     /// Pieces that are new.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<Assignment>,
     /// Time of the record.
     pub at: Instant,
 }
@@ -271,30 +271,30 @@
     }
 
     /// Returns what is known of the leaders before this instance.
-    pub fn former(&self) -> Former {
-        Former {
-            granted: self.granted.get(),
-            told: self.lead.borrow().mark().map(|it| it.store),
+    pub fn former(&self) -> PreviousLeaders {
+        PreviousLeaders {
+            grants_expire: self.granted.get(),
+            earliest_now: self.lead.borrow().mark().map(|it| it.store),
         }
     }
 
     /// Returns the present moment with the time that the store's clock shows at the latest, if the
     /// store ever told one.
-    pub fn present(&self) -> Option<Present> {
+    pub fn present(&self) -> Option<StoreTimeBound> {
         let mark = self.lead.borrow().mark()?;
         let now = clock::moment();
-        Some(Present {
-            here: now.steady,
-            store: mark.store + now.boot.saturating_sub(mark.sent.boot),
+        Some(StoreTimeBound {
+            local: now.steady,
+            latest: mark.store + now.boot.saturating_sub(mark.sent.boot),
         })
     }
 
     /// Remembers where runs of targets were last, unless a later run is known.
-    pub fn remember(&self, runs: impl Iterator<Item = (Life, SocketAddr)>) {
+    pub fn remember(&self, runs: impl Iterator<Item = (TargetIncarnation, SocketAddr)>) {
         let mut addresses = self.addresses.borrow_mut();
         for (life, at) in runs {
             let place = Place {
-                born: life.born,
+                born: life.incarnation,
                 at,
             };
             let known = addresses.entry(life.id).or_insert(place);
@@ -305,10 +305,12 @@
     }
 
     /// Returns the last known address of a run of a target.
-    pub fn address(&self, life: &Life) -> Option<SocketAddr> {
+    pub fn address(&self, life: &TargetIncarnation) -> Option<SocketAddr> {
         let addresses = self.addresses.borrow();
         let place = addresses.get(&life.id);
-        place.filter(|it| it.born == life.born).map(|it| it.at)
+        place
+            .filter(|it| it.born == life.incarnation)
+            .map(|it| it.at)
     }
 
     /// Returns whether this instance hears another one that is the leader.
--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -12,7 +12,7 @@
     },
     cowslip_decide::{
         names::Name,
-        owners::{Done, Life, Order, Piece},
+        owners::{Assignment, Command, CommandOutcome, TargetIncarnation},
     },
     std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::sync::Mutex,
@@ -47,15 +47,15 @@
     pub async fn carry(
         &self,
         context: &Context,
-        order: &Order,
+        order: &Command,
         current: impl Fn() -> bool,
-    ) -> Done {
-        let (Order::Grant { piece, .. } | Order::Release { piece }) = order;
-        if matches!(order, Order::Release { .. }) {
-            let about = about(piece, format!("fence {}", piece.fence));
+    ) -> CommandOutcome {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
+        if matches!(order, Command::Release { .. }) {
+            let about = about(assignment, format!("fence {}", assignment.fence));
             context.events.note(events::RANGE_LEAVING, about);
         }
-        let end = match &piece.owner {
+        let end = match &assignment.owner {
             Some(owner) => {
                 let current = || context.leads() && current();
                 self.send(context, order, owner, current).await
@@ -71,20 +71,20 @@
     async fn send(
         &self,
         context: &Context,
-        order: &Order,
-        owner: &Life,
+        order: &Command,
+        owner: &TargetIncarnation,
         current: impl Fn() -> bool,
-    ) -> Result<Done> {
-        let (Order::Grant { piece, .. } | Order::Release { piece }) = order;
+    ) -> Result<CommandOutcome> {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
         let clients = self.clients(context, &owner.id);
         let clients = clients.ok_or_else(|| unsent("address not known"))?;
         match order {
-            Order::Grant { hold, handover, .. } => {
+            Command::Grant { ttl, handover, .. } => {
                 let grant = Grant {
-                    first: piece.first,
-                    last: piece.last,
-                    fence: piece.fence,
-                    hold: *hold,
+                    first: assignment.first,
+                    last: assignment.last,
+                    fence: assignment.fence,
+                    hold: *ttl,
                     handover: handover.clone(),
                 };
                 let client = clients.grants.lock().await;
@@ -94,13 +94,13 @@
                 let granted = orders::grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
                 granted.map(of_grant)
             }
-            Order::Release { .. } if !current() => Err(unsent("no longer leader")),
-            Order::Release { .. } => {
-                let keys = (piece.first, piece.last);
+            Command::Release { .. } if !current() => Err(unsent("no longer leader")),
+            Command::Release { .. } => {
+                let keys = (assignment.first, assignment.last);
                 let client = &clients.releases;
-                orders::release(client, &owner.id, keys, piece.fence, RELEASE_LIMIT)
+                orders::release(client, &owner.id, keys, assignment.fence, RELEASE_LIMIT)
                     .await
-                    .map(Done::Released)
+                    .map(CommandOutcome::Released)
             }
         }
     }
@@ -117,22 +117,24 @@
     }
 }
 
-fn of_grant(granted: Granted) -> Done {
+fn of_grant(granted: Granted) -> CommandOutcome {
     match granted {
-        Granted::Held => Done::Held,
-        Granted::Outdated => Done::Outdated,
+        Granted::Held => CommandOutcome::Granted,
+        Granted::Outdated => CommandOutcome::StaleFence,
     }
 }
 
-fn of_error(error: &Error) -> Done {
+fn of_error(error: &Error) -> CommandOutcome {
     match error {
         // Another target has the address: the owner's process has ended.
-        Error::Misdirected => Done::Ended,
+        Error::Misdirected => CommandOutcome::TargetEnded,
         // A target that has as many connections as it may have refuses further ones, too.
-        Error::Refused | Error::NotSent(_) => Done::Unsent,
-        Error::Rejected { status, .. } if orders::is_unrun(*status) => Done::Unsent,
+        Error::Refused | Error::NotSent(_) => CommandOutcome::NotSent,
+        Error::Rejected { status, .. } if orders::is_unrun(*status) => CommandOutcome::NotSent,
         // A faulty target may answer anything else although it has carried the order out.
-        Error::Rejected { .. } | Error::Unknown(_) | Error::Malformed { .. } => Done::Unknown,
+        Error::Rejected { .. } | Error::Unknown(_) | Error::Malformed { .. } => {
+            CommandOutcome::Unknown
+        }
     }
 }
 
@@ -140,26 +142,33 @@
     Error::NotSent(cause.into())
 }
 
-fn note(context: &Context, order: &Order, done: &Done, cause: Option<String>) {
+fn note(context: &Context, order: &Command, done: &CommandOutcome, cause: Option<String>) {
     context.metrics.order(order, done);
-    let (Order::Grant { piece, .. } | Order::Release { piece }) = order;
+    let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
     let (code, what) = match (order, done) {
-        (Order::Grant { .. }, Done::Held) => return,
-        (Order::Grant { .. }, Done::Outdated) => (events::GRANT_REFUSED, "higher fence seen"),
-        (Order::Release { .. }, Done::Released(_)) => (events::RANGE_RELEASED, "released"),
-        (_, Done::Ended) => (events::ORDER_FAILED, "process has ended"),
-        (_, Done::Unsent) => (events::ORDER_FAILED, "not sent"),
+        (Command::Grant { .. }, CommandOutcome::Granted) => return,
+        (Command::Grant { .. }, CommandOutcome::StaleFence) => {
+            (events::GRANT_REFUSED, "higher fence seen")
+        }
+        (Command::Release { .. }, CommandOutcome::Released(_)) => {
+            (events::RANGE_RELEASED, "released")
+        }
+        (_, CommandOutcome::TargetEnded) => (events::ORDER_FAILED, "process has ended"),
+        (_, CommandOutcome::NotSent) => (events::ORDER_FAILED, "not sent"),
         _ => (events::ORDER_FAILED, "no answer"),
     };
     let cause = cause.map(|it| format!(": {it}")).unwrap_or_default();
-    let about = about(piece, format!("{what}, fence {}{cause}", piece.fence));
+    let about = about(
+        assignment,
+        format!("{what}, fence {}{cause}", assignment.fence),
+    );
     context.events.note(code, about);
 }
 
-fn about(piece: &Piece, detail: String) -> About {
+fn about(assignment: &Assignment, detail: String) -> About {
     About {
-        key: Some(format!("{}-{}", piece.first, piece.last).into()),
-        target: piece.owner.as_ref().map(|it| it.id.clone()),
+        key: Some(format!("{}-{}", assignment.first, assignment.last).into()),
+        target: assignment.owner.as_ref().map(|it| it.id.clone()),
         detail: Some(detail),
         ..About::default()
     }
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -17,7 +17,10 @@
     },
     cowslip_decide::{
         names::Name,
-        owners::{Candidate, Capacity, Keeper, Life, Loads, Table, Timing, balance},
+        owners::{
+            AssignmentManager, AssignmentTable, Candidate, CommandTiming, KeyLoads,
+            TargetCapacities, TargetIncarnation, rebalance,
+        },
     },
     std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
@@ -73,18 +76,20 @@
 impl LeaderState {
     /// Returns whether a grant is under way.
     pub fn is_granting(&self) -> bool {
-        self.services.values().any(|it| it.keeper.is_granting())
+        self.services
+            .values()
+            .any(|it| it.keeper.has_grant_in_flight())
     }
 }
 
 /// One divided service as its leader keeps it.
 pub struct Service {
     /// Ownership.
-    pub keeper: Keeper,
+    pub keeper: AssignmentManager,
     /// Version of the recorded owners; 0 if there is no row.
     pub version: u64,
     /// Table whose record got no answer, and the version of the leader's row then.
-    pub pending: Option<(Table, u64)>,
+    pub pending: Option<(AssignmentTable, u64)>,
     /// Whether a record or the look at one is under way.
     pub recording: bool,
     /// When the last record began.
@@ -114,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct Reports {
     /// Load of keys by service.
-    loads: BTreeMap<Name, Loads>,
+    loads: BTreeMap<Name, KeyLoads>,
     /// Average time of targets' answers in milliseconds.
     paces: BTreeMap<Name, u32>,
     /// Instances that report it.
@@ -133,14 +138,14 @@
     }
     let current = state.reign == context.lead.borrow().reign();
     let all = divided(context).into_iter();
-    let holds = all.map(|name| Some(state.services.get(&name)?.keeper.holds(now)));
+    let holds = all.map(|name| Some(state.services.get(&name)?.keeper.remaining_grant_time(now)));
     let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
     longest.filter(|_| current)
 }
 
 impl Reports {
     /// Returns the load of a service's keys.
-    pub fn loads(&mut self, service: &Name) -> &mut Loads {
+    pub fn loads(&mut self, service: &Name) -> &mut KeyLoads {
         self.loads.entry(service.clone()).or_default()
     }
 }
@@ -185,7 +190,7 @@
     for (service, keys) in report.keys {
         let loads = reports.loads.entry(service).or_default();
         for (key, requests) in keys {
-            loads.add(key, f64::from(requests));
+            loads.add_requests(key, f64::from(requests));
         }
     }
 }
@@ -273,14 +278,14 @@
         }
         let candidates = all.iter().map(|(id, it)| {
             let candidate = Candidate {
-                born: it.born,
-                usable: it.open,
+                incarnation: it.born,
+                can_own: it.open,
             };
             (id.clone(), candidate)
         });
-        service.keeper.review(&candidates.collect(), now);
+        service.keeper.review_owners(&candidates.collect(), now);
         for life in replaced(context, service) {
-            service.keeper.end(&life, now);
+            service.keeper.mark_ended(&life, now);
         }
         spread(context, service, name, &capacity);
     }
@@ -298,19 +303,19 @@
     let owners = context.owners.borrow().get(name).cloned();
     let table = owners
         .as_ref()
-        .map_or_else(Table::default, |it| (*it.table).clone());
+        .map_or_else(AssignmentTable::default, |it| (*it.table).clone());
     let max_hold = context.bounds.borrow().max_hold;
-    let timing = Timing {
-        hold: HOLD.min(max_hold),
-        long_hold: max_hold,
-        max_hold,
-        renewal: RENEWAL,
+    let timing = CommandTiming {
+        ttl: HOLD.min(max_hold),
+        long_ttl: max_hold,
+        max_ttl: max_hold,
+        renewal_interval: RENEWAL,
         slow_renewal: SLOW_RENEWAL,
-        retry: RETRY,
-        flight: courier::FLIGHT,
+        retry_delay: RETRY,
+        delivery_limit: courier::FLIGHT,
     };
     let service = Service {
-        keeper: Keeper::new(&table, timing, context.former(), now),
+        keeper: AssignmentManager::new(&table, timing, context.former(), now),
         version: owners.map_or(0, |it| it.version),
         pending: None,
         recording: false,
@@ -323,7 +328,7 @@
 }
 
 /// Returns what the targets that may get keys can do; cold ones only where there is no other.
-fn capacity(context: &Context, all: &BTreeMap<Name, Standing>) -> Capacity {
+fn capacity(context: &Context, all: &BTreeMap<Name, Standing>) -> TargetCapacities {
     let mut reports = context.reports.borrow_mut();
     let targets = context.targets.borrow();
     reports.paces.retain(|id, _| targets.get(id).is_some());
@@ -341,7 +346,7 @@
         let chosen = all.iter().filter(move |(_, it)| it.open && it.cold == cold);
         chosen
             .map(|(id, _)| (id.clone(), slots(id) * speed(id)))
-            .collect::<Capacity>()
+            .collect::<TargetCapacities>()
     };
     let warm = open(false);
     if warm.is_empty() { open(true) } else { warm }
@@ -350,12 +355,12 @@
 /// Returns the owners that are not listed and whose address belongs to a target that started later.
 ///
 /// An address is given to another target only some time after the process that had it has ended.
-fn replaced(context: &Context, service: &Service) -> Vec<Life> {
+fn replaced(context: &Context, service: &Service) -> Vec<TargetIncarnation> {
     let targets = context.targets.borrow();
     let owners = service.keeper.owners().into_iter();
-    let unlisted: Vec<&Life> = owners
+    let unlisted: Vec<&TargetIncarnation> = owners
         .filter(|life| targets.get(&life.id).is_none())
-        .filter(|life| !service.keeper.ended().contains(life))
+        .filter(|life| !service.keeper.ended_incarnations().contains(life))
         .collect();
     if unlisted.is_empty() {
         return Vec::new();
@@ -365,15 +370,15 @@
     let unlisted = unlisted.into_iter().filter(|life| {
         let address = context.address(life);
         let next = address.and_then(|at| listed.get(&at));
-        next.is_some_and(|born| *born > life.born)
+        next.is_some_and(|born| *born > life.incarnation)
     });
     unlisted.cloned().collect()
 }
 
 /// Begins transfers that make the loads more even.
-fn spread(context: &Context, service: &mut Service, name: &Name, capacity: &Capacity) {
+fn spread(context: &Context, service: &mut Service, name: &Name, capacity: &TargetCapacities) {
     let now = Instant::now();
-    service.keeper.divide(capacity.len() as u32);
+    service.keeper.split_evenly(capacity.len() as u32);
     if now - service.balanced < BALANCE {
         return;
     }
@@ -385,8 +390,8 @@
     }
     let mut reports = context.reports.borrow_mut();
     let loads = reports.loads(name);
-    loads.fade(now);
-    let transfers = balance(
+    loads.decay(now);
+    let transfers = rebalance(
         &service.keeper.table(),
         loads,
         capacity,
@@ -395,7 +400,9 @@
     );
     for transfer in transfers {
         let (first, last) = (transfer.first, transfer.last);
-        service.keeper.transfer(first, last, &transfer.to, now);
+        service
+            .keeper
+            .start_transfer(first, last, &transfer.new_owner, now);
     }
 }
 
@@ -413,7 +420,7 @@
         return;
     };
     let begun = service.begun;
-    for order in service.keeper.orders(strained, Instant::now()) {
+    for order in service.keeper.next_commands(strained, Instant::now()) {
         let (context, state, name) = (context.clone(), state.clone(), name.clone());
         spawn_local(async move {
             let sent = Instant::now();
@@ -426,7 +433,9 @@
             let mut state = state.borrow_mut();
             // The orders of an earlier time as leader are not this keeper's.
             if let Some(service) = state.services.get_mut(&name).filter(|it| it.begun == begun) {
-                service.keeper.done(&order, done, sent, Instant::now());
+                service
+                    .keeper
+                    .handle_outcome(&order, done, sent, Instant::now());
             }
             context.work.notify_one();
         });
--- a/crates/cowslipcross/src/lead/record.rs
+++ b/crates/cowslipcross/src/lead/record.rs
@@ -4,7 +4,7 @@
     cowslip_adapter::store::{Put, Row},
     cowslip_decide::{
         names::{Fence, Name},
-        owners::{Life, Piece, Table},
+        owners::{Assignment, AssignmentTable, TargetIncarnation},
     },
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
@@ -92,38 +92,41 @@
 
 impl WireTable {
     /// Returns a table with the addresses of its owners, as far as they are known.
-    pub fn new(table: &Table, address: impl Fn(&Life) -> Option<SocketAddr>) -> Self {
-        let mut places: BTreeMap<&Life, usize> = BTreeMap::new();
+    pub fn new(
+        table: &AssignmentTable,
+        address: impl Fn(&TargetIncarnation) -> Option<SocketAddr>,
+    ) -> Self {
+        let mut places: BTreeMap<&TargetIncarnation, usize> = BTreeMap::new();
         let mut owners = Vec::new();
         let mut addresses = Vec::new();
         let mut place = |life| {
             *places.entry(life).or_insert_with(|| {
-                owners.push((life.id.clone(), life.born));
+                owners.push((life.id.clone(), life.incarnation));
                 addresses.push(address(life));
                 owners.len() - 1
             })
         };
-        let pieces = table.pieces.iter();
+        let pieces = table.assignments.iter();
         let pieces = pieces.map(|it| (it.first, it.owner.as_ref().map(&mut place), it.fence.0));
         let pieces = pieces.collect();
-        let ends = table.pieces.iter();
-        let ends = ends.filter_map(|it| Some((it.first, it.ends?.as_millis() as u64)));
+        let ends = table.assignments.iter();
+        let ends = ends.filter_map(|it| Some((it.first, it.expires_at?.as_millis() as u64)));
         Self {
             pieces,
             owners,
             addresses,
-            fence: table.fence.0,
+            fence: table.highest_fence.0,
             ends: ends.collect(),
         }
     }
 
     /// Returns the owners with their last known addresses.
-    pub fn addresses(&self) -> Vec<(Life, SocketAddr)> {
+    pub fn addresses(&self) -> Vec<(TargetIncarnation, SocketAddr)> {
         let known = self.owners.iter().zip(&self.addresses);
         let known = known.filter_map(|((id, born), address)| {
-            let life = Life {
+            let life = TargetIncarnation {
                 id: id.clone(),
-                born: *born,
+                incarnation: *born,
             };
             Some((life, (*address)?))
         });
@@ -131,7 +134,7 @@
     }
 }
 
-impl TryFrom<WireTable> for Table {
+impl TryFrom<WireTable> for AssignmentTable {
     type Error = &'static str;
 
     fn try_from(wire: WireTable) -> Result<Self, Self::Error> {
@@ -146,27 +149,27 @@
                 None => None,
                 Some(place) => {
                     let (id, born) = wire.owners.get(place).ok_or("owner that is not named")?;
-                    Some(Life {
+                    Some(TargetIncarnation {
                         id: id.clone(),
-                        born: *born,
+                        incarnation: *born,
                     })
                 }
             };
-            Ok(Piece {
+            Ok(Assignment {
                 first,
                 last: last.ok_or("two pieces from the first key")?,
                 owner,
                 fence: Fence(fence),
-                ends: wire.ends.get(&first).copied().map(Duration::from_millis),
+                expires_at: wire.ends.get(&first).copied().map(Duration::from_millis),
             })
         };
-        let pieces: Result<Vec<Piece>, Self::Error> =
+        let pieces: Result<Vec<Assignment>, Self::Error> =
             wire.pieces.iter().zip(ends).map(piece).collect();
         let table = Self {
-            pieces: pieces?,
-            fence: Fence(wire.fence),
+            assignments: pieces?,
+            highest_fence: Fence(wire.fence),
         };
-        match table.is_whole() {
+        match table.is_complete() {
             true => Ok(table),
             false => Err("pieces out of order"),
         }
--- a/crates/cowslipcross/src/lead/record_tests.rs
+++ b/crates/cowslipcross/src/lead/record_tests.rs
@@ -5,7 +5,7 @@
     cowslip_adapter::store::{Put, Row},
     cowslip_decide::{
         names::Fence,
-        owners::{Life, Table},
+        owners::{AssignmentTable, TargetIncarnation},
     },
     std::{
         net::{Ipv4Addr, SocketAddr, SocketAddrV4},
@@ -20,38 +20,43 @@
 /// Longest value of a row of the store, in bytes.
 const ROW: usize = 65_536;
 
-fn table(targets: u16, pieces: u16) -> Table {
-    let mut table = Table::default();
+fn table(targets: u16, pieces: u16) -> AssignmentTable {
+    let mut table = AssignmentTable::default();
     for at in 1..pieces {
-        table.cut(at * (u16::MAX / pieces), u16::MAX);
+        table.split_around(at * (u16::MAX / pieces), u16::MAX);
     }
-    for (piece, at) in table.pieces.iter_mut().zip(0u64..) {
-        piece.owner = Some(Life {
+    for (piece, at) in table.assignments.iter_mut().zip(0u64..) {
+        piece.owner = Some(TargetIncarnation {
             id: format!("i-{:010x}", at % u64::from(targets)).into(),
-            born: 1_785_804_039_008 + at % u64::from(targets),
+            incarnation: 1_785_804_039_008 + at % u64::from(targets),
         });
         piece.fence = Fence(100_000 + at);
     }
-    table.fence = Fence(200_000);
+    table.highest_fence = Fence(200_000);
     table
 }
 
-fn written(table: &Table) -> Vec<u8> {
-    let address = |_: &Life| Some(ADDRESS);
+fn written(table: &AssignmentTable) -> Vec<u8> {
+    let address = |_: &TargetIncarnation| Some(ADDRESS);
     serde_json::to_vec(&WireTable::new(table, address)).expect("JSON")
 }
 
-fn read(row: &[u8]) -> Result<Table, String> {
+fn read(row: &[u8]) -> Result<AssignmentTable, String> {
     let wire: WireTable = serde_json::from_slice(row).map_err(|error| error.to_string())?;
-    Table::try_from(wire).map_err(str::to_owned)
+    AssignmentTable::try_from(wire).map_err(str::to_owned)
 }
 
 #[test]
 fn a_table_comes_back_as_it_was() {
     let mut partly = table(3, 7);
-    partly.pieces[2].owner = None;
-    partly.pieces[4].ends = Some(Duration::from_millis(1_234));
-    for table in [Table::default(), table(1, 1), table(25, 150), partly] {
+    partly.assignments[2].owner = None;
+    partly.assignments[4].expires_at = Some(Duration::from_millis(1_234));
+    for table in [
+        AssignmentTable::default(),
+        table(1, 1),
+        table(25, 150),
+        partly,
+    ] {
         assert_eq!(read(&written(&table)), Ok(table));
     }
 }
@@ -59,8 +64,8 @@
 #[test]
 fn the_addresses_of_owners_come_back_and_may_be_missing() {
     let table = table(2, 4);
-    let second = table.pieces[1].owner.clone().expect("an owner");
-    let known = |life: &Life| (*life == second).then_some(ADDRESS);
+    let second = table.assignments[1].owner.clone().expect("an owner");
+    let known = |life: &TargetIncarnation| (*life == second).then_some(ADDRESS);
     let wire = WireTable::new(&table, known);
     assert_eq!(wire.addresses(), [(second.clone(), ADDRESS)]);
     let without = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
@@ -82,7 +87,7 @@
         let head = all.iter().find(|it| it.key == "owners/boards").cloned();
         let head = head.expect("the row that the others are parts of");
         let read = super::read("boards", &head, &all).expect("owners");
-        assert_eq!(Table::try_from(read), Ok(table));
+        assert_eq!(AssignmentTable::try_from(read), Ok(table));
         all.retain(|it| it.key != "parts/boards/001");
         let partly = super::read("boards", &head, &all);
         assert_eq!(partly.is_err(), count > 1, "a part is missing");
--- a/crates/cowslipcross/src/lead/recorder.rs
+++ b/crates/cowslipcross/src/lead/recorder.rs
@@ -12,7 +12,7 @@
     },
     cowslip_decide::{
         names::Name,
-        owners::{Capacity, LeastLoaded, Life, Loads, Table},
+        owners::{AssignmentTable, KeyLoads, TargetCapacities, TargetIncarnation, TargetsByLoad},
     },
     std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration},
     tokio::{task::spawn_local, time::Instant},
@@ -35,13 +35,13 @@
     state: &Rc<RefCell<LeaderState>>,
     name: &Name,
     all: BTreeMap<Name, Standing>,
-    capacity: Capacity,
+    capacity: TargetCapacities,
 ) {
     let mut open = state.borrow_mut();
     let Some(service) = open.services.get_mut(name) else {
         return;
     };
-    let wanted = service.pending.is_some() || service.keeper.wants_record(Instant::now());
+    let wanted = service.pending.is_some() || service.keeper.needs_recording(Instant::now());
     let spaced = service.recorded.is_none_or(|at| at.elapsed() >= SPACING);
     if service.recording || !wanted || !spaced {
         return;
@@ -85,7 +85,7 @@
     }
 
     /// Compares the record without an answer with what the store has.
-    fn settle(&self, pending: &Table) -> bool {
+    fn settle(&self, pending: &AssignmentTable) -> bool {
         let owners = self.context.owners.borrow().get(&self.name).cloned();
         let version = owners.as_ref().map_or(0, |it| it.version);
         let written = owners.is_some_and(|it| *it.table == *pending);
@@ -94,7 +94,7 @@
                 return false;
             }
             if version > service.version {
-                service.keeper.recorded(pending, Instant::now());
+                service.keeper.apply_recorded(pending, Instant::now());
                 service.version = version;
             }
             service.pending = None;
@@ -109,7 +109,7 @@
     }
 
     /// Records what waits for it; returns whether something was recorded.
-    async fn record(&self, all: &BTreeMap<Name, Standing>, capacity: &Capacity) -> bool {
+    async fn record(&self, all: &BTreeMap<Name, Standing>, capacity: &TargetCapacities) -> bool {
         let proposal =
             self.with(|service| proposal(&self.context, service, &self.name, all, capacity));
         let Some((version, table)) = proposal.flatten() else {
@@ -126,12 +126,12 @@
         }
     }
 
-    fn recorded(&self, table: &Table) -> bool {
+    fn recorded(&self, table: &AssignmentTable) -> bool {
         let owners = self.context.owners.borrow();
         let version = owners.get(&self.name).map_or(0, |it| it.version);
         drop(owners);
         let known = self.with(|service| {
-            service.keeper.recorded(table, Instant::now());
+            service.keeper.apply_recorded(table, Instant::now());
             service.version = version;
         });
         let detail = format!("service {}, version {version}", self.name);
@@ -147,38 +147,44 @@
     service: &Service,
     name: &Name,
     all: &BTreeMap<Name, Standing>,
-    capacity: &Capacity,
-) -> Option<(u64, Table)> {
-    let (ended, silent) = (service.keeper.ended(), service.keeper.silent());
-    let lives = all.iter().map(|(id, standing)| Life {
+    capacity: &TargetCapacities,
+) -> Option<(u64, AssignmentTable)> {
+    let (ended, silent) = (
+        service.keeper.ended_incarnations(),
+        service.keeper.unanswered_owners(),
+    );
+    let lives = all.iter().map(|(id, standing)| TargetIncarnation {
         id: id.clone(),
-        born: standing.born,
+        incarnation: standing.born,
     });
     let lives = lives.filter(|life| !ended.contains(life) && !silent.contains(&life.id));
-    let lives: BTreeMap<Name, Life> = lives.map(|life| (life.id.clone(), life)).collect();
+    let lives: BTreeMap<Name, TargetIncarnation> =
+        lives.map(|life| (life.id.clone(), life)).collect();
     let mut reports = context.reports.borrow_mut();
     let loads = reports.loads(name);
     let sums = sums(&service.keeper.table(), loads);
     let open = capacity.iter().filter(|(id, _)| lives.contains_key(*id));
-    let mut least = LeastLoaded::new(open, &sums);
-    let table = service.keeper.proposal(context.present(), |piece, wish| {
-        let wish = wish.filter(|wish| capacity.contains_key(*wish));
-        let chosen = match wish.and_then(|wish| lives.get(wish)) {
-            Some(life) => life,
-            None => lives.get(least.get()?)?,
-        };
-        least.add(&chosen.id, loads.of(piece.first, piece.last));
-        Some(chosen.clone())
-    });
+    let mut least = TargetsByLoad::new(open, &sums);
+    let table = service
+        .keeper
+        .propose_table(context.present(), |piece, wish| {
+            let wish = wish.filter(|wish| capacity.contains_key(*wish));
+            let chosen = match wish.and_then(|wish| lives.get(wish)) {
+                Some(life) => life,
+                None => lives.get(least.least_loaded()?)?,
+            };
+            least.add_load(&chosen.id, loads.range_load(piece.first, piece.last));
+            Some(chosen.clone())
+        });
     table.map(|table| (service.version, table))
 }
 
 /// Returns the load of each target by the keys that it owns.
-fn sums(table: &Table, loads: &Loads) -> BTreeMap<Name, f64> {
+fn sums(table: &AssignmentTable, loads: &KeyLoads) -> BTreeMap<Name, f64> {
     let mut sums = BTreeMap::new();
-    for piece in &table.pieces {
+    for piece in &table.assignments {
         if let Some(owner) = &piece.owner {
-            let load = loads.of(piece.first, piece.last);
+            let load = loads.range_load(piece.first, piece.last);
             *sums.entry(owner.id.clone()).or_default() += load;
         }
     }
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -15,7 +15,7 @@
     cowslip_decide::{
         lead::{Mark, Moment, Seat, Step, Turn},
         names::Name,
-        owners::{Life, Table, inherited},
+        owners::{AssignmentTable, TargetIncarnation, max_grant_lifetime},
     },
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, rc::Rc, time::Duration},
@@ -252,7 +252,7 @@
 /// said when it gave its row up, or else that of a grant sent at the end of its lease.
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
-    let longest = inherited(context.bounds.borrow().max_hold, courier::FLIGHT);
+    let longest = max_grant_lifetime(context.bounds.borrow().max_hold, courier::FLIGHT);
     said.or_else(|| Some(Duration::from_millis(row.told?) + TERM + longest))
 }
 
@@ -278,7 +278,7 @@
     let detail = format!(
         "service {service}, version {}, {} pieces",
         row.version,
-        table.pieces.len()
+        table.assignments.len()
     );
     owners.insert(
         service.into(),
@@ -294,10 +294,14 @@
 }
 
 /// Reads owners and their last known addresses.
-fn read(service: &str, row: &Row, all: &[Row]) -> Result<(Table, Vec<(Life, SocketAddr)>), String> {
+fn read(
+    service: &str,
+    row: &Row,
+    all: &[Row],
+) -> Result<(AssignmentTable, Vec<(TargetIncarnation, SocketAddr)>), String> {
     let wire = record::read(service, row, all)?;
     let addresses = wire.addresses();
-    let table = Table::try_from(wire).map_err(str::to_owned)?;
+    let table = AssignmentTable::try_from(wire).map_err(str::to_owned)?;
     Ok((table, addresses))
 }
 
@@ -366,7 +370,12 @@
 }
 
 /// Records owners under the condition that this instance still is the leader.
-pub async fn record(context: &Context, service: &Name, before: u64, table: &Table) -> Recorded {
+pub async fn record(
+    context: &Context,
+    service: &Name,
+    before: u64,
+    table: &AssignmentTable,
+) -> Recorded {
     let one = context.writing.lock().await;
     if !context.leads() {
         return Recorded::Refused;
@@ -397,12 +406,17 @@
 }
 
 /// Puts recorded owners in force on this instance, and keeps the difference for the others.
-fn took_effect(context: &Context, service: &Name, (before, version): (u64, u64), table: &Table) {
+fn took_effect(
+    context: &Context,
+    service: &Name,
+    (before, version): (u64, u64),
+    table: &AssignmentTable,
+) {
     let mut owners = context.owners.borrow_mut();
     let former = owners.get(service).filter(|it| it.version == before);
     let change = former.map(|former| Change {
         base: before,
-        pieces: table.changes(&former.table),
+        pieces: table.changes_since(&former.table),
         at: Instant::now(),
     });
     let next = Owners {
@@ -456,7 +470,7 @@
 /// Returns the time of the store's clock after which none of this leader's grants is in force, if
 /// that is known.
 fn granted(context: &Context) -> Option<Duration> {
-    Some(context.present()?.store + keep::holds(context)?)
+    Some(context.present()?.latest + keep::holds(context)?)
 }
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -9,7 +9,7 @@
         status::Ages,
     },
     cowslip_adapter::config::Route,
-    cowslip_decide::owners::{Done, Order},
+    cowslip_decide::owners::{Command, CommandOutcome},
     prometheus::{GaugeVec, HistogramVec, IntCounter, IntCounterVec, IntGauge},
     registry::Registry,
     std::time::Duration,
@@ -149,17 +149,17 @@
     }
 
     /// Counts an order to the owner of keys.
-    pub fn order(&self, order: &Order, done: &Done) {
+    pub fn order(&self, order: &Command, done: &CommandOutcome) {
         let order = match order {
-            Order::Grant { .. } => "grant",
-            Order::Release { .. } => "release",
+            Command::Grant { .. } => "grant",
+            Command::Release { .. } => "release",
         };
         let end = match done {
-            Done::Held | Done::Released(_) => "done",
-            Done::Outdated => "outdated",
-            Done::Unsent => "unsent",
-            Done::Ended => "ended",
-            Done::Unknown => "unknown",
+            CommandOutcome::Granted | CommandOutcome::Released(_) => "done",
+            CommandOutcome::StaleFence => "outdated",
+            CommandOutcome::NotSent => "unsent",
+            CommandOutcome::TargetEnded => "ended",
+            CommandOutcome::Unknown => "unknown",
         };
         self.orders.with_label_values(&[order, end]).inc();
     }
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -6,7 +6,7 @@
     crate::views::news::WireNews,
     cowslip_decide::{
         names::{Fence, Name},
-        owners::{Life, Piece},
+        owners::{Assignment, TargetIncarnation},
     },
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
@@ -176,23 +176,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WirePiece(u16, u16, Option<(Name, u64)>, u64);
 
-impl From<&Piece> for WirePiece {
-    fn from(piece: &Piece) -> Self {
-        let owner = piece.owner.as_ref().map(|it| (it.id.clone(), it.born));
+impl From<&Assignment> for WirePiece {
+    fn from(piece: &Assignment) -> Self {
+        let owner = piece
+            .owner
+            .as_ref()
+            .map(|it| (it.id.clone(), it.incarnation));
         Self(piece.first, piece.last, owner, piece.fence.0)
     }
 }
 
-impl From<&WirePiece> for Piece {
+impl From<&WirePiece> for Assignment {
     fn from(wire: &WirePiece) -> Self {
         let WirePiece(first, last, owner, fence) = wire.clone();
         Self {
             first,
             last,
-            owner: owner.map(|(id, born)| Life { id, born }),
+            owner: owner.map(|(id, born)| TargetIncarnation {
+                id,
+                incarnation: born,
+            }),
             fence: Fence(fence),
             // Of use to a leader alone, which reads it in the store.
-            ends: None,
+            expires_at: None,
         }
     }
 }
--- a/crates/cowslipcross/src/peers/owners.rs
+++ b/crates/cowslipcross/src/peers/owners.rs
@@ -11,7 +11,7 @@
     },
     cowslip_decide::{
         names::{Fence, Name},
-        owners::{Piece, Table},
+        owners::{Assignment, AssignmentTable},
     },
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::time::Instant,
@@ -41,7 +41,7 @@
             version: it.version,
             base: told.map_or(0, |change| change.base),
             pieces: told.map_or_else(Vec::new, |it| it.pieces.iter().map(Into::into).collect()),
-            large: it.table.pieces.len() > MOST_SENT,
+            large: it.table.assignments.len() > MOST_SENT,
         };
         (name.clone(), recorded)
     });
@@ -62,8 +62,8 @@
     };
     let mut table = (*known.table).clone();
     drop(owners);
-    let pieces: Vec<Piece> = recorded.pieces.iter().map(Piece::from).collect();
-    table.apply(&pieces);
+    let pieces: Vec<Assignment> = recorded.pieces.iter().map(Assignment::from).collect();
+    table.apply_changes(&pieces);
     adopt(context, service, recorded.version, table);
 }
 
@@ -91,7 +91,7 @@
         version: known.version,
         base: 0,
         large: false,
-        pieces: known.table.pieces.iter().map(Into::into).collect(),
+        pieces: known.table.assignments.iter().map(Into::into).collect(),
     };
     let message = Message::Owners(service.clone(), recorded);
     datagram::send_now(context, &message, from);
@@ -102,21 +102,21 @@
     let owners = context.owners.borrow();
     let known = owners.get(service).map_or(0, |it| it.version);
     drop(owners);
-    let pieces: Vec<Piece> = recorded.pieces.iter().map(Piece::from).collect();
+    let pieces: Vec<Assignment> = recorded.pieces.iter().map(Assignment::from).collect();
     let fence = pieces.iter().map(|it| it.fence).max();
-    let table = Table {
-        fence: fence.unwrap_or(Fence(0)),
-        pieces,
+    let table = AssignmentTable {
+        highest_fence: fence.unwrap_or(Fence(0)),
+        assignments: pieces,
     };
-    if recorded.version > known && table.is_whole() && !context.leads() {
+    if recorded.version > known && table.is_complete() && !context.leads() {
         adopt(context, service, recorded.version, table);
     }
 }
 
-fn adopt(context: &Context, service: &Name, version: u64, table: Table) {
+fn adopt(context: &Context, service: &Name, version: u64, table: AssignmentTable) {
     let detail = format!(
         "service {service}, version {version}, {} pieces, from the leader",
-        table.pieces.len()
+        table.assignments.len()
     );
     let owners = Owners {
         version,
--- a/crates/cowslipcross/src/serve/block.rs
+++ b/crates/cowslipcross/src/serve/block.rs
@@ -3,7 +3,7 @@
 use {
     cowslip_decide::{
         names::{Fence, Name},
-        owners::Piece,
+        owners::Assignment,
     },
     std::{collections::BTreeMap, time::Duration},
     tokio::time::Instant,
@@ -29,7 +29,7 @@
 
 impl Blocks {
     /// Takes the refusal of a request by the owner of a piece.
-    pub fn refused(&mut self, service: &Name, piece: &Piece, now: Instant) {
+    pub fn refused(&mut self, service: &Name, piece: &Assignment, now: Instant) {
         let key = (service.clone(), piece.first);
         let before = self.0.get(&key).filter(|it| it.fence == piece.fence);
         if before.is_some_and(|it| it.until > now) {
@@ -45,12 +45,12 @@
     }
 
     /// Takes an answer of the owner of a piece.
-    pub fn served(&mut self, service: &Name, piece: &Piece) {
+    pub fn served(&mut self, service: &Name, piece: &Assignment) {
         self.0.remove(&(service.clone(), piece.first));
     }
 
     /// Returns how long requests for a piece wait, unless it has another owner by then.
-    pub fn wait(&self, service: &Name, piece: &Piece, now: Instant) -> Option<Duration> {
+    pub fn wait(&self, service: &Name, piece: &Assignment, now: Instant) -> Option<Duration> {
         let block = self.0.get(&(service.clone(), piece.first))?;
         let blocked = block.fence == piece.fence && block.until > now;
         blocked.then(|| block.until - now)
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -71,7 +71,7 @@
     let Some(owners) = owners.get(&request.service) else {
         return Choice::Wait(LOOK);
     };
-    let piece = owners.table.piece(key);
+    let piece = owners.table.assignment(key);
     if let Some(wait) = context.blocks.borrow().wait(&request.service, piece, now) {
         return Choice::Wait(wait);
     }
@@ -80,7 +80,7 @@
     };
     let Some(seen) = targets
         .get(&life.id)
-        .filter(|it| it.target.born == life.born)
+        .filter(|it| it.target.born == life.incarnation)
     else {
         return Choice::Wait(LOOK);
     };
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -250,7 +250,11 @@
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocks.borrow_mut();
-        blocks.refused(&request.service, owners.table.piece(key), Instant::now());
+        blocks.refused(
+            &request.service,
+            owners.table.assignment(key),
+            Instant::now(),
+        );
     }
 }
 
@@ -258,7 +262,7 @@
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocks.borrow_mut();
-        blocks.served(&request.service, owners.table.piece(key));
+        blocks.served(&request.service, owners.table.assignment(key));
     }
 }
 
--- a/crates/cowslipcross/src/views/seen.rs
+++ b/crates/cowslipcross/src/views/seen.rs
@@ -3,7 +3,7 @@
 use {
     crate::views::news::{Changes, WireNews},
     cowslip_adapter::targets::Target,
-    cowslip_decide::{names::Name, owners::Life},
+    cowslip_decide::{names::Name, owners::TargetIncarnation},
     std::{collections::BTreeMap, rc::Rc, time::Duration},
     tokio::time::Instant,
 };
@@ -209,10 +209,10 @@
     }
 
     /// Returns the run of the target.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> TargetIncarnation {
+        TargetIncarnation {
             id: self.target.id.clone(),
-            born: self.target.born,
+            incarnation: self.target.born,
         }
     }
 
--- a/crates/decide/src/owners/mod.rs
+++ b/crates/decide/src/owners/mod.rs
@@ -1,12 +1,15 @@
 //! Ownership of the keys of one divided service: who owns which, and in what order it changes.
 
-mod keeper;
-mod kept;
-mod spread;
+mod manager;
+mod rebalance;
+mod state;
 mod table;
 
 pub use {
-    keeper::{Candidate, Done, Former, Keeper, Order, Present, Timing, inherited},
-    spread::{Capacity, LeastLoaded, Loads, Transfer, balance},
-    table::{Life, Piece, Table},
+    manager::{
+        AssignmentManager, Candidate, Command, CommandOutcome, CommandTiming, PreviousLeaders,
+        StoreTimeBound, max_grant_lifetime,
+    },
+    rebalance::{KeyLoads, TargetCapacities, TargetsByLoad, Transfer, rebalance},
+    table::{Assignment, AssignmentTable, TargetIncarnation},
 };
--- a/crates/decide/src/owners/spread.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -1,7 +1,7 @@
 //! Which target should own which keys, by the load that the keys bring.
 
 use {
-    super::table::{Piece, Table},
+    super::table::{Assignment, AssignmentTable},
     crate::names::Name,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -30,13 +30,13 @@
 
 /// Requests of late by key, older ones counting less.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct KeyLoads {
     keys: BTreeMap<u16, f64>,
     since: Option<Instant>,
 }
 
 /// Work that a target can do, in relation to others; above 0.
-pub type Capacity = BTreeMap<Name, f64>;
+pub type TargetCapacities = BTreeMap<Name, f64>;
 
 /// Keys that should go to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,17 +46,17 @@
     /// Last key, included.
     pub last: u16,
     /// New owner.
-    pub to: Name,
+    pub new_owner: Name,
 }
 
-impl Loads {
+impl KeyLoads {
     /// Counts requests for a key.
-    pub fn add(&mut self, key: u16, requests: f64) {
+    pub fn add_requests(&mut self, key: u16, requests: f64) {
         *self.keys.entry(key).or_default() += requests;
     }
 
     /// Lets the weight of former requests fall.
-    pub fn fade(&mut self, now: Instant) {
+    pub fn decay(&mut self, now: Instant) {
         let since = self.since.replace(now).unwrap_or(now);
         let passed = now.duration_since(since).as_secs_f64();
         let factor = (-passed / MEMORY.as_secs_f64()).exp();
@@ -67,7 +67,7 @@
     }
 
     /// Returns the load of keys.
-    pub fn of(&self, first: u16, last: u16) -> f64 {
+    pub fn range_load(&self, first: u16, last: u16) -> f64 {
         let seen: f64 = self
             .keys
             .range(first..=last)
@@ -78,12 +78,12 @@
     }
 
     /// Returns the first key of the upper half of a piece of two keys or more, by load.
-    fn middle(&self, piece: &Piece) -> u16 {
-        let half = self.of(piece.first, piece.last) / 2.0;
-        let (mut low, mut high) = (piece.first + 1, piece.last);
+    fn middle(&self, assignment: &Assignment) -> u16 {
+        let half = self.range_load(assignment.first, assignment.last) / 2.0;
+        let (mut low, mut high) = (assignment.first + 1, assignment.last);
         while low < high {
             let key = low + (high - low) / 2;
-            match self.of(piece.first, key) < half {
+            match self.range_load(assignment.first, key) < half {
                 true => low = key + 1,
                 false => high = key,
             }
@@ -92,10 +92,10 @@
     }
 
     /// Returns the keys of the heaviest range within a piece whose load is at most `most`.
-    fn heaviest(&self, piece: &Piece, most: f64) -> Option<(u16, u16, f64)> {
+    fn heaviest(&self, assignment: &Assignment, most: f64) -> Option<(u16, u16, f64)> {
         let seen: Vec<(u16, f64)> = self
             .keys
-            .range(piece.first..=piece.last)
+            .range(assignment.first..=assignment.last)
             .map(|(key, weight)| (*key, *weight))
             .collect();
         let mut best: Option<(u16, u16, f64)> = None;
@@ -116,13 +116,13 @@
 
 /// Targets in the order of their loads for their capacities.
 #[derive(Debug)]
-pub struct LeastLoaded {
+pub struct TargetsByLoad {
     loads: BTreeMap<Name, (f64, f64)>,
     /// Bits of a ratio, which is not negative, are in the order of the ratio.
     order: BTreeSet<(u64, Name)>,
 }
 
-impl LeastLoaded {
+impl TargetsByLoad {
     /// Takes targets with their capacities, and the loads of targets.
     pub fn new<'a>(
         open: impl Iterator<Item = (&'a Name, &'a f64)>,
@@ -137,12 +137,12 @@
     }
 
     /// Returns the one with the least load.
-    pub fn get(&self) -> Option<&Name> {
+    pub fn least_loaded(&self) -> Option<&Name> {
         self.order.first().map(|(_, name)| name)
     }
 
     /// Adds to the load of a target.
-    pub fn add(&mut self, name: &Name, load: f64) {
+    pub fn add_load(&mut self, name: &Name, load: f64) {
         if let Some(known) = self.loads.get_mut(name) {
             self.order.remove(&(ratio(*known), name.clone()));
             known.0 += load;
@@ -159,31 +159,35 @@
 ///
 /// Targets without a key get some first, whatever the load. Pieces for which `fixed` is true stay
 /// where they are.
-pub fn balance(
-    table: &Table,
-    loads: &Loads,
-    capacity: &Capacity,
+pub fn rebalance(
+    table: &AssignmentTable,
+    loads: &KeyLoads,
+    capacity: &TargetCapacities,
     count: usize,
-    fixed: impl Fn(&Piece) -> bool,
+    fixed: impl Fn(&Assignment) -> bool,
 ) -> Vec<Transfer> {
     let mut sums: BTreeMap<Name, f64> = capacity.keys().map(|name| (name.clone(), 0.0)).collect();
-    for piece in &table.pieces {
-        if let Some(sum) = piece.owner.as_ref().and_then(|it| sums.get_mut(&it.id)) {
-            *sum += loads.of(piece.first, piece.last);
+    for assignment in &table.assignments {
+        if let Some(sum) = assignment
+            .owner
+            .as_ref()
+            .and_then(|it| sums.get_mut(&it.id))
+        {
+            *sum += loads.range_load(assignment.first, assignment.last);
         }
     }
-    let pieces = table.pieces.iter().filter(|it| !fixed(it));
+    let assignments = table.assignments.iter().filter(|it| !fixed(it));
     let mut spread = Spread {
-        pieces: pieces.cloned().collect(),
+        assignments: assignments.cloned().collect(),
         loads,
         capacity,
         sums,
         moved: Vec::new(),
     };
     let owners: BTreeSet<&Name> = table
-        .pieces
+        .assignments
         .iter()
-        .filter_map(|piece| Some(&piece.owner.as_ref()?.id))
+        .filter_map(|assignment| Some(&assignment.owner.as_ref()?.id))
         .collect();
     for empty in capacity.keys().filter(|name| !owners.contains(name)) {
         if spread.moved.len() < count {
@@ -196,9 +200,9 @@
 
 /// Loads while transfers are being chosen.
 struct Spread<'a> {
-    pieces: Vec<Piece>,
-    loads: &'a Loads,
-    capacity: &'a Capacity,
+    assignments: Vec<Assignment>,
+    loads: &'a KeyLoads,
+    capacity: &'a TargetCapacities,
     sums: BTreeMap<Name, f64>,
     moved: Vec<Transfer>,
 }
@@ -217,36 +221,39 @@
     }
 
     /// Returns the pieces of a target that have not moved.
-    fn pieces_of<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Piece> {
-        self.pieces.iter().filter(move |piece| {
-            let owned = piece.owner.as_ref().is_some_and(|it| it.id == *owner);
-            owned && self.is_movable(piece)
+    fn pieces_of<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Assignment> {
+        self.assignments.iter().filter(move |assignment| {
+            let owned = assignment.owner.as_ref().is_some_and(|it| it.id == *owner);
+            owned && self.is_movable(assignment)
         })
     }
 
     /// Returns whether no part of a piece has moved.
-    fn is_movable(&self, piece: &Piece) -> bool {
-        !self.moved.iter().any(|it| piece.has(it.first))
+    fn is_movable(&self, assignment: &Assignment) -> bool {
+        !self.moved.iter().any(|it| assignment.contains(it.first))
     }
 
     /// Gives a target without a key a half of the busiest piece of the most loaded target that has
     /// one that can be cut.
     fn fill(&mut self, empty: &Name) {
-        let movable = self.pieces.iter().filter(|piece| self.is_movable(piece));
-        let found = movable.filter_map(|piece| {
-            let owner = &piece.owner.as_ref()?.id;
-            let known = piece.len() > 1 && self.sums.contains_key(owner);
-            let load = self.loads.of(piece.first, piece.last);
-            known.then(|| (self.ratio(owner), load, piece))
+        let movable = self
+            .assignments
+            .iter()
+            .filter(|assignment| self.is_movable(assignment));
+        let found = movable.filter_map(|assignment| {
+            let owner = &assignment.owner.as_ref()?.id;
+            let known = assignment.len() > 1 && self.sums.contains_key(owner);
+            let load = self.loads.range_load(assignment.first, assignment.last);
+            known.then(|| (self.ratio(owner), load, assignment))
         });
-        let order = |a: &(f64, f64, &Piece), b: &(f64, f64, &Piece)| {
+        let order = |a: &(f64, f64, &Assignment), b: &(f64, f64, &Assignment)| {
             a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
         };
-        let Some((_, _, piece)) = found.max_by(order) else {
+        let Some((_, _, assignment)) = found.max_by(order) else {
             return;
         };
-        let keys = (self.loads.middle(piece), piece.last);
-        if let Some(owner) = piece.owner.as_ref().map(|it| it.id.clone()) {
+        let keys = (self.loads.middle(assignment), assignment.last);
+        if let Some(owner) = assignment.owner.as_ref().map(|it| it.id.clone()) {
             self.transfer(&owner, keys, empty);
         }
     }
@@ -292,9 +299,9 @@
             .min(room)
             .max((high - low) * self.capacity[least] * 0.4);
         let floor = WORTH * mean * self.capacity[most];
-        let split = self.pieces.len() + self.moved.len() < most_pieces(self.capacity.len());
+        let split = self.assignments.len() + self.moved.len() < most_pieces(self.capacity.len());
         let parts = self.pieces_of(most);
-        let parts = parts.filter_map(|piece| part(piece, self.loads, wanted, split));
+        let parts = parts.filter_map(|assignment| part(assignment, self.loads, wanted, split));
         let best = parts
             .filter(|(_, _, load)| *load >= floor)
             .max_by(|a, b| a.2.total_cmp(&b.2))?;
@@ -302,11 +309,15 @@
     }
 
     fn transfer(&mut self, from: &Name, (first, last): (u16, u16), to: &Name) {
-        let load = self.loads.of(first, last);
+        let load = self.loads.range_load(first, last);
         *self.sums.entry(from.clone()).or_default() -= load;
         *self.sums.entry(to.clone()).or_default() += load;
-        let to = to.clone();
-        self.moved.push(Transfer { first, last, to });
+        let new_owner = to.clone();
+        self.moved.push(Transfer {
+            first,
+            last,
+            new_owner,
+        });
     }
 }
 
@@ -317,13 +328,18 @@
 }
 
 /// Returns the part of a piece that fits best into `wanted`: the whole, an end, or a range within.
-fn part(piece: &Piece, loads: &Loads, wanted: f64, split: bool) -> Option<(u16, u16, f64)> {
-    let whole = loads.of(piece.first, piece.last);
+fn part(
+    assignment: &Assignment,
+    loads: &KeyLoads,
+    wanted: f64,
+    split: bool,
+) -> Option<(u16, u16, f64)> {
+    let whole = loads.range_load(assignment.first, assignment.last);
     if whole <= wanted {
-        return Some((piece.first, piece.last, whole));
+        return Some((assignment.first, assignment.last, whole));
     }
     if !split {
         return None;
     }
-    loads.heaviest(piece, wanted)
+    loads.heaviest(assignment, wanted)
 }
--- a/crates/decide/src/owners/kept.rs
+++ b/crates/decide/src/owners/state.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        keeper::{Done, Order, Timing},
-        table::Piece,
+        manager::{Command, CommandOutcome, CommandTiming},
+        table::Assignment,
     },
     crate::names::{Fence, Name},
     std::time::Duration,
@@ -28,8 +28,8 @@
 
 /// A recorded piece with what may be true of it at its owner.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
-    pub piece: Piece,
+pub(super) struct AssignmentState {
+    pub assignment: Assignment,
     /// Time until which its owner may serve it.
     pub until: Option<Instant>,
     /// Time until which a grant without an answer may still give it to its owner.
@@ -54,10 +54,10 @@
     pub silent: u32,
 }
 
-impl Kept {
-    pub fn new(piece: Piece, now: Instant) -> Self {
+impl AssignmentState {
+    pub fn new(assignment: Assignment, now: Instant) -> Self {
         Self {
-            piece,
+            assignment,
             until: None,
             late: None,
             lost: Fence(0),
@@ -73,16 +73,16 @@
     }
 
     /// Returns what is true of a piece of these keys once it is recorded.
-    pub fn recorded(&self, piece: Piece, now: Instant) -> Self {
-        let changed = piece.fence != self.piece.fence;
+    pub fn recorded(&self, assignment: Assignment, now: Instant) -> Self {
+        let changed = assignment.fence != self.assignment.fence;
         if self.free && changed {
             return Self {
                 handover: self.handover.clone(),
-                ..Self::new(piece, now)
+                ..Self::new(assignment, now)
             };
         }
         let mut next = Self {
-            piece,
+            assignment,
             ..self.clone()
         };
         if changed {
@@ -120,19 +120,20 @@
     /// Returns whether nothing is under way.
     pub fn is_quiet(&self) -> bool {
         let waits = self.busy || self.free || self.refence || self.leave.is_some();
-        !waits && self.piece.owner.is_some() && self.handover.is_none()
+        !waits && self.assignment.owner.is_some() && self.handover.is_none()
     }
 
     /// Returns whether the owner has yet to take the fence that makes it refuse late grants.
     pub fn shields(&self) -> bool {
-        self.late.is_some() && self.piece.fence > self.lost
+        self.late.is_some() && self.assignment.fence > self.lost
     }
 
     /// Returns when the hold of an owner that is to lose the keys, and cannot be reached, has run out
     /// for sure; `None` where that is recorded or not worth it.
     pub fn lost_end(&self, now: Instant) -> Option<Instant> {
         let lost = self.leave.is_some() && self.silent >= UNREACHABLE;
-        if !lost || self.free || self.busy || self.shields() || self.piece.ends.is_some() {
+        if !lost || self.free || self.busy || self.shields() || self.assignment.expires_at.is_some()
+        {
             return None;
         }
         let end = self.until.max(self.late)?;
@@ -150,21 +151,27 @@
         }
     }
 
-    pub fn done(&mut self, order: &Order, done: &Done, timing: &Timing, span: (Instant, Instant)) {
+    pub fn done(
+        &mut self,
+        order: &Command,
+        done: &CommandOutcome,
+        timing: &CommandTiming,
+        span: (Instant, Instant),
+    ) {
         let (sent, now) = span;
         self.busy = false;
         self.silent = match done {
-            Done::Unsent | Done::Unknown => self.silent + 1,
+            CommandOutcome::NotSent | CommandOutcome::Unknown => self.silent + 1,
             _ => 0,
         };
         if self.silent >= GIVEN_UP {
             self.leave(None, now);
         }
         match (order, done) {
-            (Order::Grant { hold, .. }, Done::Held) => {
-                let end = now + hold.mul_f64(CLOCK_MARGIN);
+            (Command::Grant { ttl, .. }, CommandOutcome::Granted) => {
+                let end = now + ttl.mul_f64(CLOCK_MARGIN);
                 self.until = self.until.max(Some(end));
-                if self.piece.fence > self.lost {
+                if self.assignment.fence > self.lost {
                     self.late = None;
                 }
                 if self.leave.is_none() {
@@ -172,21 +179,21 @@
                 }
                 self.next = match self.leave {
                     Some(_) => now,
-                    None => sent + timing.renewal,
+                    None => sent + timing.renewal_interval,
                 };
             }
-            (Order::Grant { hold, .. }, Done::Unknown) => {
-                let end = now + timing.flight + hold.mul_f64(CLOCK_MARGIN);
+            (Command::Grant { ttl, .. }, CommandOutcome::Unknown) => {
+                let end = now + timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN);
                 self.until = self.until.max(Some(end));
                 self.late = self.late.max(Some(end));
-                self.lost = self.lost.max(self.piece.fence);
+                self.lost = self.lost.max(self.assignment.fence);
                 self.next = now;
             }
-            (Order::Grant { .. }, Done::Outdated) => {
+            (Command::Grant { .. }, CommandOutcome::StaleFence) => {
                 self.refence = true;
                 self.next = now;
             }
-            (Order::Release { .. }, Done::Released(handover)) => match self.late {
+            (Command::Release { .. }, CommandOutcome::Released(handover)) => match self.late {
                 None => self.set_free(handover.clone()),
                 Some(_) => {
                     self.handover.clone_from(handover);
@@ -194,10 +201,10 @@
                     self.next = now;
                 }
             },
-            (_, Done::Ended) => self.end(now),
+            (_, CommandOutcome::TargetEnded) => self.end(now),
             _ => {
                 let doublings = self.silent.saturating_sub(1).min(MOST_DOUBLINGS);
-                self.next = now + timing.retry * (1 << doublings);
+                self.next = now + timing.retry_delay * (1 << doublings);
             }
         }
     }
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -3,7 +3,10 @@
 use {
     cowslip_decide::{
         names::{Fence, Name},
-        owners::{Candidate, Done, Former, Keeper, Life, Order, Piece, Present, Table, Timing},
+        owners::{
+            Assignment, AssignmentManager, AssignmentTable, Candidate, Command, CommandOutcome,
+            CommandTiming, PreviousLeaders, StoreTimeBound, TargetIncarnation,
+        },
     },
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::{collections::BTreeMap, time::Duration},
@@ -11,14 +14,14 @@
 };
 
 /// Periods and bounds as the program has them.
-pub const TIMING: Timing = Timing {
-    hold: Duration::from_millis(3200),
-    long_hold: Duration::from_secs(10),
-    max_hold: Duration::from_secs(10),
-    renewal: Duration::from_millis(800),
+pub const TIMING: CommandTiming = CommandTiming {
+    ttl: Duration::from_millis(3200),
+    long_ttl: Duration::from_secs(10),
+    max_ttl: Duration::from_secs(10),
+    renewal_interval: Duration::from_millis(800),
     slow_renewal: Duration::from_millis(1100),
-    retry: Duration::from_millis(150),
-    flight: Duration::from_millis(800),
+    retry_delay: Duration::from_millis(150),
+    delivery_limit: Duration::from_millis(800),
 };
 
 const TICK: Duration = Duration::from_millis(10);
@@ -43,9 +46,9 @@
 
 #[derive(Debug)]
 struct Target {
-    born: u64,
+    incarnation: u64,
     up: bool,
-    usable: bool,
+    can_own: bool,
     listed: bool,
     reachable: bool,
     slow: f64,
@@ -56,22 +59,22 @@
 
 /// An order on its way, or waiting for its end.
 struct Flight {
-    order: Order,
+    order: Command,
     sent: Instant,
     target: usize,
     /// Run of the target that it was sent to.
-    born: u64,
+    incarnation: u64,
     arrive: Instant,
     apply: Option<Instant>,
     answer: Option<Instant>,
     /// Time as leader in which it was sent.
     reign: u32,
-    result: Option<Done>,
+    result: Option<CommandOutcome>,
 }
 
 impl Flight {
     fn is_grant(&self) -> bool {
-        matches!(self.order, Order::Grant { .. })
+        matches!(self.order, Command::Grant { .. })
     }
 }
 
@@ -82,8 +85,8 @@
     start: Instant,
     now: Instant,
     targets: Vec<Target>,
-    table: Table,
-    keeper: Option<Keeper>,
+    table: AssignmentTable,
+    keeper: Option<AssignmentManager>,
     reign: u32,
     vacant: u32,
     /// End of all grants, if the last leader said so as it gave its part up.
@@ -96,7 +99,7 @@
 
 /// A record without an answer.
 struct Pending {
-    table: Table,
+    table: AssignmentTable,
     written: bool,
     due: Instant,
 }
@@ -107,9 +110,9 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
         let target = |slow| Target {
-            born: 1,
+            incarnation: 1,
             up: true,
-            usable: true,
+            can_own: true,
             listed: true,
             reachable: true,
             slow,
@@ -124,7 +127,7 @@
             start: now,
             now,
             targets,
-            table: Table::default(),
+            table: AssignmentTable::default(),
             keeper: None,
             reign: 0,
             vacant: 1,
@@ -155,12 +158,12 @@
         let at = self.rng.random_range(0..TARGETS);
         let target = &mut self.targets[at];
         match self.rng.random_range(0..1500) {
-            0 => target.usable = !target.usable,
+            0 => target.can_own = !target.can_own,
             1 => target.reachable = !target.reachable,
             2 => target.listed = !target.listed,
             3 => {
                 // It ends and starts again under its id; it knows nothing of before.
-                target.born += 1;
+                target.incarnation += 1;
                 target.held.clear();
                 target.seen.clear();
             }
@@ -172,7 +175,8 @@
             5 => {
                 // It gives its part up. Orders that it has sent are on their way.
                 let keeper = self.keeper.take();
-                self.given_up = keeper.map(|keeper| self.now + keeper.holds(self.now));
+                self.given_up =
+                    keeper.map(|keeper| self.now + keeper.remaining_grant_time(self.now));
                 self.vacant = self.rng.random_range(1..400);
             }
             _ => {}
@@ -187,7 +191,7 @@
     fn heal(&mut self) {
         self.calm = true;
         for target in &mut self.targets {
-            target.usable = true;
+            target.can_own = true;
             target.listed = true;
             target.reachable = true;
             target.up = true;
@@ -201,11 +205,16 @@
             if self.vacant == 0 {
                 self.reign += 1;
                 self.pending = None;
-                let former = Former {
-                    granted: self.given_up.take().map(|until| self.store(until)),
-                    told: Some(self.store(self.now) - TOLD),
+                let former = PreviousLeaders {
+                    grants_expire: self.given_up.take().map(|until| self.store(until)),
+                    earliest_now: Some(self.store(self.now) - TOLD),
                 };
-                self.keeper = Some(Keeper::new(&self.table, TIMING, former, self.now));
+                self.keeper = Some(AssignmentManager::new(
+                    &self.table,
+                    TIMING,
+                    former,
+                    self.now,
+                ));
             }
             return;
         };
@@ -213,53 +222,53 @@
         let all: BTreeMap<Name, Candidate> = listed
             .map(|(at, target)| {
                 let candidate = Candidate {
-                    born: target.born,
-                    usable: target.usable,
+                    incarnation: target.incarnation,
+                    can_own: target.can_own,
                 };
                 (name(at), candidate)
             })
             .collect();
-        keeper.review(&all, self.now);
-        keeper.divide(TARGETS as u32);
+        keeper.review_owners(&all, self.now);
+        keeper.split_evenly(TARGETS as u32);
         if !self.calm && self.rng.random_bool(0.01) {
             let first: u16 = self.rng.random_range(0..65_000);
             let to = name(self.rng.random_range(0..TARGETS));
-            keeper.transfer(first, first + 5, &to, self.now);
+            keeper.start_transfer(first, first + 5, &to, self.now);
         }
         self.record(&mut keeper, &all);
-        for order in keeper.orders(false, self.now) {
+        for order in keeper.next_commands(false, self.now) {
             self.send(order);
         }
         self.keeper = Some(keeper);
     }
 
-    fn record(&mut self, keeper: &mut Keeper, all: &BTreeMap<Name, Candidate>) {
-        if self.is_pending(keeper) || !keeper.wants_record(self.now) {
+    fn record(&mut self, keeper: &mut AssignmentManager, all: &BTreeMap<Name, Candidate>) {
+        if self.is_pending(keeper) || !keeper.needs_recording(self.now) {
             return;
         }
-        let ended = keeper.ended().clone();
-        let open: Vec<Life> = all
+        let ended = keeper.ended_incarnations().clone();
+        let open: Vec<TargetIncarnation> = all
             .iter()
-            .filter(|(_, it)| it.usable)
-            .map(|(id, it)| Life {
+            .filter(|(_, it)| it.can_own)
+            .map(|(id, it)| TargetIncarnation {
                 id: id.clone(),
-                born: it.born,
+                incarnation: it.incarnation,
             })
             .filter(|life| !ended.contains(life))
             .collect();
-        let present = Present {
-            here: self.now,
-            store: self.store(self.now) + TOLD,
+        let present = StoreTimeBound {
+            local: self.now,
+            latest: self.store(self.now) + TOLD,
         };
         let rng = &mut self.rng;
-        let table = keeper.proposal(Some(present), |_, wish| {
+        let table = keeper.propose_table(Some(present), |_, wish| {
             let wished = open.iter().find(|it| Some(&it.id) == wish);
             wished
                 .or_else(|| open.get(rng.random_range(0..open.len().max(1))))
                 .cloned()
         });
         let Some(table) = table else { return };
-        assert!(table.is_whole(), "seed {}: {table:?}", self.seed);
+        assert!(table.is_complete(), "seed {}: {table:?}", self.seed);
         self.check_fences(&table);
         if !self.calm && self.rng.random_bool(0.1) {
             // The store refused the write.
@@ -278,12 +287,12 @@
             });
             return;
         }
-        keeper.recorded(&table, self.now);
+        keeper.apply_recorded(&table, self.now);
         self.table = table;
     }
 
     /// Lets the leader learn the end of a record without an answer; returns whether it waits.
-    fn is_pending(&mut self, keeper: &mut Keeper) -> bool {
+    fn is_pending(&mut self, keeper: &mut AssignmentManager) -> bool {
         let Some(pending) = self.pending.take() else {
             return false;
         };
@@ -292,18 +301,18 @@
             return true;
         }
         if pending.written {
-            keeper.recorded(&pending.table, self.now);
+            keeper.apply_recorded(&pending.table, self.now);
         }
         false
     }
 
-    fn send(&mut self, order: Order) {
-        let (Order::Grant { piece, .. } | Order::Release { piece }) = &order;
-        let owner = piece.owner.clone().expect("orders have an owner");
+    fn send(&mut self, order: Command) {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = &order;
+        let owner = assignment.owner.clone().expect("orders have an owner");
         let at = index(&owner.id);
         let unlucky = !self.calm && self.rng.random_bool(0.05);
         let lost = !self.targets[at].reachable || unlucky;
-        let grant = matches!(order, Order::Grant { .. });
+        let grant = matches!(order, Command::Grant { .. });
         let late = grant && !self.calm && self.rng.random_bool(0.05);
         // An instance without processor time sends after its limit.
         let slow = grant && !self.calm && self.rng.random_bool(0.05);
@@ -311,8 +320,8 @@
         let arrive = self.now + Duration::from_millis(self.rng.random_range(way));
         let delay = Duration::from_millis(self.rng.random_range(500..9000));
         let work = match order {
-            Order::Grant { .. } => Duration::from_millis(1),
-            Order::Release { .. } => Duration::from_millis(self.rng.random_range(1..300)),
+            Command::Grant { .. } => Duration::from_millis(1),
+            Command::Release { .. } => Duration::from_millis(self.rng.random_range(1..300)),
         };
         let (apply, answer) = match (lost, late) {
             (true, _) => (None, None),
@@ -323,7 +332,7 @@
             order,
             sent: self.now,
             target: at,
-            born: self.targets[at].born,
+            incarnation: self.targets[at].incarnation,
             arrive,
             apply,
             answer,
@@ -341,7 +350,7 @@
                 flight.apply = None;
                 let target = &mut self.targets[flight.target];
                 // An order to a run that has ended is lost with it.
-                if target.born == flight.born {
+                if target.incarnation == flight.incarnation {
                     flight.result = Some(target.apply(&flight.order, flight.arrive, now));
                 } else {
                     flight.answer = None;
@@ -352,8 +361,10 @@
         for mut flight in flights {
             let end = match (flight.answer, flight.result.clone()) {
                 (Some(at), Some(done)) if at <= now => Some(done),
-                (None, _) if now >= flight.sent + LIMIT => Some(Done::Unknown),
-                _ if flight.is_grant() && now >= flight.sent + LIMIT => Some(Done::Unknown),
+                (None, _) if now >= flight.sent + LIMIT => Some(CommandOutcome::Unknown),
+                _ if flight.is_grant() && now >= flight.sent + LIMIT => {
+                    Some(CommandOutcome::Unknown)
+                }
                 _ => None,
             };
             if let Some(done) = end
@@ -362,7 +373,7 @@
                 if let Some(keeper) = &mut self.keeper
                     && flight.reign == self.reign
                 {
-                    keeper.done(&flight.order, done, flight.sent, now);
+                    keeper.handle_outcome(&flight.order, done, flight.sent, now);
                 }
                 flight.reign = 0;
                 flight.answer = None;
@@ -392,23 +403,27 @@
     }
 
     /// Checks that keys that get another owner get a higher fence.
-    fn check_fences(&self, next: &Table) {
-        for piece in &next.pieces {
-            let before = self.table.piece(piece.first);
-            let moved = before.owner != piece.owner;
-            assert!(!moved || piece.fence > before.fence, "seed {}", self.seed);
+    fn check_fences(&self, next: &AssignmentTable) {
+        for assignment in &next.assignments {
+            let before = self.table.assignment(assignment.first);
+            let moved = before.owner != assignment.owner;
+            assert!(
+                !moved || assignment.fence > before.fence,
+                "seed {}",
+                self.seed
+            );
         }
     }
 
     /// Checks that every key is held by its recorded owner.
     fn check_served(&self) {
-        for piece in &self.table.pieces {
-            let owner = piece.owner.as_ref().expect("every key has an owner");
+        for assignment in &self.table.assignments {
+            let owner = assignment.owner.as_ref().expect("every key has an owner");
             let target = &self.targets[index(&owner.id)];
-            let held: u32 = target.live(self.now).map(|it| shared(it, piece)).sum();
+            let held: u32 = target.live(self.now).map(|it| shared(it, assignment)).sum();
             assert!(
-                held == piece.len(),
-                "seed {}: {held} keys of {piece:?} are held",
+                held == assignment.len(),
+                "seed {}: {held} keys of {assignment:?} are held",
                 self.seed
             );
         }
@@ -420,31 +435,31 @@
         self.held.iter().filter(move |it| self.up && it.until > now)
     }
 
-    fn apply(&mut self, order: &Order, arrived: Instant, now: Instant) -> Done {
-        let (Order::Grant { piece, .. } | Order::Release { piece }) = order;
-        let (first, last) = (piece.first, piece.last);
+    fn apply(&mut self, order: &Command, arrived: Instant, now: Instant) -> CommandOutcome {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
+        let (first, last) = (assignment.first, assignment.last);
         match order {
-            Order::Grant { hold, .. } => {
+            Command::Grant { ttl, .. } => {
                 let higher = |(a, b, fence): &(u16, u16, Fence)| {
-                    *a <= last && first <= *b && *fence > piece.fence
+                    *a <= last && first <= *b && *fence > assignment.fence
                 };
                 if self.seen.iter().any(higher) {
-                    return Done::Outdated;
+                    return CommandOutcome::StaleFence;
                 }
-                self.seen.push((first, last, piece.fence));
+                self.seen.push((first, last, assignment.fence));
                 self.drop_range(first, last);
                 self.held.push(Held {
                     first,
                     last,
-                    fence: piece.fence,
-                    until: arrived + hold.mul_f64(self.slow),
+                    fence: assignment.fence,
+                    until: arrived + ttl.mul_f64(self.slow),
                 });
                 self.held.retain(|it| it.until > now);
-                Done::Held
+                CommandOutcome::Granted
             }
-            Order::Release { .. } => {
+            Command::Release { .. } => {
                 self.drop_range(first, last);
-                Done::Released(None)
+                CommandOutcome::Released(None)
             }
         }
     }
@@ -475,10 +490,10 @@
 }
 
 /// Returns how many keys of a piece a hold with its fence covers.
-fn shared(held: &Held, piece: &Piece) -> u32 {
-    let first = held.first.max(piece.first);
-    let last = held.last.min(piece.last);
-    match held.fence == piece.fence && first <= last {
+fn shared(held: &Held, assignment: &Assignment) -> u32 {
+    let first = held.first.max(assignment.first);
+    let last = held.last.min(assignment.last);
+    match held.fence == assignment.fence && first <= last {
         true => u32::from(last - first) + 1,
         false => 0,
     }
