--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -119,7 +119,7 @@
 
 fn of_grant(granted: Granted) -> CommandOutcome {
     match granted {
-        Granted::Held => CommandOutcome::Granted,
+        Granted::Held => CommandOutcome::Accepted,
         Granted::Outdated => CommandOutcome::StaleFence,
     }
 }
@@ -129,8 +129,8 @@
         // Another target has the address: the owner's process has ended.
         Error::Misdirected => CommandOutcome::TargetEnded,
         // A target that has as many connections as it may have refuses further ones, too.
-        Error::Refused | Error::NotSent(_) => CommandOutcome::NotSent,
-        Error::Rejected { status, .. } if orders::is_unrun(*status) => CommandOutcome::NotSent,
+        Error::Refused | Error::NotSent(_) => CommandOutcome::Unsent,
+        Error::Rejected { status, .. } if orders::is_unrun(*status) => CommandOutcome::Unsent,
         // A faulty target may answer anything else although it has carried the order out.
         Error::Rejected { .. } | Error::Unknown(_) | Error::Malformed { .. } => {
             CommandOutcome::Unknown
@@ -146,7 +146,7 @@
     context.metrics.order(order, done);
     let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
     let (code, what) = match (order, done) {
-        (Command::Grant { .. }, CommandOutcome::Granted) => return,
+        (Command::Grant { .. }, CommandOutcome::Accepted) => return,
         (Command::Grant { .. }, CommandOutcome::StaleFence) => {
             (events::GRANT_REFUSED, "higher fence seen")
         }
@@ -154,7 +154,7 @@
             (events::RANGE_RELEASED, "released")
         }
         (_, CommandOutcome::TargetEnded) => (events::ORDER_FAILED, "process has ended"),
-        (_, CommandOutcome::NotSent) => (events::ORDER_FAILED, "not sent"),
+        (_, CommandOutcome::Unsent) => (events::ORDER_FAILED, "not sent"),
         _ => (events::ORDER_FAILED, "no answer"),
     };
     let cause = cause.map(|it| format!(": {it}")).unwrap_or_default();
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -155,9 +155,9 @@
             Command::Release { .. } => "release",
         };
         let end = match done {
-            CommandOutcome::Granted | CommandOutcome::Released(_) => "done",
+            CommandOutcome::Accepted | CommandOutcome::Released(_) => "done",
             CommandOutcome::StaleFence => "outdated",
-            CommandOutcome::NotSent => "unsent",
+            CommandOutcome::Unsent => "unsent",
             CommandOutcome::TargetEnded => "ended",
             CommandOutcome::Unknown => "unknown",
         };
--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -93,13 +93,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// The target took the grant.
-    Granted,
+    Accepted,
     /// The target has seen a higher fence.
     StaleFence,
     /// The target released the keys.
     Released(Option<Name>),
     /// The order was not sent.
-    NotSent,
+    Unsent,
     /// Another target has the address: the process of the one that was meant has ended.
     TargetEnded,
     /// No answer: the order may have been carried out, or may be later.
--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -230,7 +230,10 @@
 
     /// Returns whether no part of a piece has moved.
     fn is_movable(&self, assignment: &Assignment) -> bool {
-        !self.moved.iter().any(|it| assignment.contains(it.first))
+        !self
+            .moved
+            .iter()
+            .any(|it| assignment.contains_key(it.first))
     }
 
     /// Gives a target without a key a half of the busiest piece of the most loaded target that has
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -161,14 +161,14 @@
         let (sent, now) = span;
         self.busy = false;
         self.silent = match done {
-            CommandOutcome::NotSent | CommandOutcome::Unknown => self.silent + 1,
+            CommandOutcome::Unsent | CommandOutcome::Unknown => self.silent + 1,
             _ => 0,
         };
         if self.silent >= GIVEN_UP {
             self.leave(None, now);
         }
         match (order, done) {
-            (Command::Grant { ttl, .. }, CommandOutcome::Granted) => {
+            (Command::Grant { ttl, .. }, CommandOutcome::Accepted) => {
                 let end = now + ttl.mul_f64(CLOCK_MARGIN);
                 self.until = self.until.max(Some(end));
                 if self.assignment.fence > self.lost {
--- a/crates/decide/src/owners/table.rs
+++ b/crates/decide/src/owners/table.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns whether the key is one of its keys.
-    pub fn contains(&self, key: u16) -> bool {
+    pub fn contains_key(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
 }
@@ -105,7 +105,7 @@
     pub fn apply_changes(&mut self, changes: &[Assignment]) {
         for change in changes {
             self.split_around(change.first, change.last);
-            let inside = |assignment: &&mut Assignment| change.contains(assignment.first);
+            let inside = |assignment: &&mut Assignment| change.contains_key(assignment.first);
             for assignment in self.assignments.iter_mut().filter(inside) {
                 assignment.owner.clone_from(&change.owner);
                 assignment.fence = change.fence;
--- a/crates/decide/tests/owners.rs
+++ b/crates/decide/tests/owners.rs
@@ -74,7 +74,7 @@
     keeper.apply_recorded(&table, now);
     let grants = keeper.next_commands(false, now);
     assert!(matches!(grants.as_slice(), [Command::Grant { .. }]));
-    keeper.handle_outcome(&grants[0], CommandOutcome::Granted, now, now);
+    keeper.handle_outcome(&grants[0], CommandOutcome::Accepted, now, now);
     keeper.review_owners(&candidates(&[("a", false), ("b", true)]), now);
     let releases = keeper.next_commands(false, now);
     assert!(matches!(releases.as_slice(), [Command::Release { .. }]));
@@ -150,7 +150,7 @@
         matches!(grant.as_slice(), [Command::Grant { .. }]),
         "{grant:?}"
     );
-    keeper.handle_outcome(&grant[0], CommandOutcome::Granted, now, now);
+    keeper.handle_outcome(&grant[0], CommandOutcome::Accepted, now, now);
     let release = keeper.next_commands(false, now);
     keeper.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
     let table = keeper
@@ -180,7 +180,7 @@
     while !keeper.needs_recording(now) {
         keeper.review_owners(&all, now);
         for order in keeper.next_commands(false, now) {
-            keeper.handle_outcome(&order, CommandOutcome::NotSent, now, now);
+            keeper.handle_outcome(&order, CommandOutcome::Unsent, now, now);
         }
         now += Duration::from_millis(50);
         assert!(now < start + Duration::from_secs(1), "no record");
@@ -242,7 +242,7 @@
         let grant = keeper.next_commands(false, later(times));
         keeper.handle_outcome(
             &grant[0],
-            CommandOutcome::NotSent,
+            CommandOutcome::Unsent,
             later(times),
             later(times),
         );
@@ -251,7 +251,7 @@
     assert!(matches!(grant.as_slice(), [Command::Grant { .. }]));
     keeper.review_owners(&candidates(&[("a", false)]), later(3));
     assert!(!keeper.needs_recording(later(3)), "the grant is under way");
-    keeper.handle_outcome(&grant[0], CommandOutcome::NotSent, later(3), later(3));
+    keeper.handle_outcome(&grant[0], CommandOutcome::Unsent, later(3), later(3));
     assert!(keeper.needs_recording(later(4)));
 }
 
@@ -270,7 +270,7 @@
         let at = now + Duration::from_secs(1) * times;
         for order in keeper.next_commands(false, at) {
             assert!(matches!(order, Command::Grant { .. }), "{order:?}");
-            keeper.handle_outcome(&order, CommandOutcome::NotSent, at, at);
+            keeper.handle_outcome(&order, CommandOutcome::Unsent, at, at);
         }
         assert!(!keeper.needs_recording(at), "after {times} s");
     }
@@ -284,12 +284,12 @@
     let start = now + TIMING.max_ttl * 2;
     keeper.review_owners(&candidates(&[("a", true)]), start);
     for order in keeper.next_commands(false, start) {
-        keeper.handle_outcome(&order, CommandOutcome::Granted, start, start);
+        keeper.handle_outcome(&order, CommandOutcome::Accepted, start, start);
     }
     keeper.review_owners(&candidates(&[("a", false)]), start);
     let free_at = |keeper: &mut AssignmentManager, at: Instant| {
         for order in keeper.next_commands(false, at) {
-            keeper.handle_outcome(&order, CommandOutcome::NotSent, at, at);
+            keeper.handle_outcome(&order, CommandOutcome::Unsent, at, at);
         }
         keeper.next_commands(false, at);
         keeper.propose_table(None, |_, _| Some(life("b"))).is_some()
@@ -311,7 +311,7 @@
         keeper.review_owners(&all, now);
         for order in keeper.next_commands(false, now) {
             sent += 1;
-            keeper.handle_outcome(&order, CommandOutcome::NotSent, now, now);
+            keeper.handle_outcome(&order, CommandOutcome::Unsent, now, now);
         }
     }
     assert!((4..=8).contains(&sent), "{sent} orders in 5 s");
@@ -383,7 +383,7 @@
     let later = now + Duration::from_secs(20);
     let held = |keeper: &mut AssignmentManager| {
         for order in keeper.next_commands(false, later) {
-            keeper.handle_outcome(&order, CommandOutcome::Granted, later, later);
+            keeper.handle_outcome(&order, CommandOutcome::Accepted, later, later);
         }
     };
     held(&mut keeper);
@@ -522,7 +522,7 @@
                 panic!("{order:?}");
             };
             assert!(*ttl <= TIMING.max_ttl);
-            keeper.handle_outcome(order, CommandOutcome::Granted, now, now);
+            keeper.handle_outcome(order, CommandOutcome::Accepted, now, now);
         }
         granted += orders.len();
     }
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -455,7 +455,7 @@
                     until: arrived + ttl.mul_f64(self.slow),
                 });
                 self.held.retain(|it| it.until > now);
-                CommandOutcome::Granted
+                CommandOutcome::Accepted
             }
             Command::Release { .. } => {
                 self.drop_range(first, last);
