--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -1,14 +1,15 @@
-//! The leader's part: grants, renewals and moves of keys, so that no two targets own one key.
+//! The leader's state machine for one service: grants, renews and moves keys so that no two targets
+//! own one key at a time.
 //!
-//! Keys change hands in this order: the old owner releases them, or its last hold has run out, or
-//! it is known to have ended; the new owner is recorded with a higher fence; the new owner gets its
-//! grant. A grant without an answer may be carried out later. It blocks the release of its keys
-//! until its hold has run out, or until the same owner has taken a higher fence, under which the
-//! target refuses the late one.
+//! Keys change their owner in this order: the old owner releases them, its last grant expires, or
+//! its process is known to have ended; the new owner is recorded with a higher fence; the new owner
+//! gets its grant. A grant without an answer may take effect late. Until it has expired, a release
+//! does not free its keys, unless the same owner has accepted a higher fence since, under which the
+//! target refuses the late grant.
 
 use {
     super::{
-        state::{AssignmentState, CLOCK_MARGIN, GIVEN_UP},
+        state::{AssignmentState, CLOCK_MARGIN, MAX_UNANSWERED},
         table::{Assignment, AssignmentTable, TargetIncarnation},
     },
     crate::names::{Fence, Name},
@@ -19,38 +20,40 @@
     tokio::time::Instant,
 };
 
-/// Periods and bounds of the orders to targets.
+/// Intervals and limits of the commands to targets.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandTiming {
-    /// Hold of a grant.
+    /// TTL of a grant.
     pub ttl: Duration,
-    /// Hold of a grant while the store is out of reach.
+    /// TTL of a grant while the store is unreachable.
     pub long_ttl: Duration,
-    /// Longest hold that any leader gives.
+    /// Longest TTL that any leader grants.
     pub max_ttl: Duration,
-    /// Time after which a grant is renewed.
+    /// Time from a grant to its renewal.
     pub renewal_interval: Duration,
-    /// The same where there are more than [`MANY`] pieces.
+    /// Shortest renewal interval with more than [`LARGE_ASSIGNMENT_COUNT`] assignments.
     pub slow_renewal: Duration,
-    /// Time after which an order that failed is sent again.
+    /// Time after which a failed command is sent again; it doubles with further failures.
     pub retry_delay: Duration,
-    /// Longest time from the sending of an order to its arrival or loss.
+    /// Longest time from the sending of a command to its arrival or loss.
     pub delivery_limit: Duration,
 }
 
 impl CommandTiming {
-    /// Returns the timing for so many pieces: holds outlast two renewals, as far as they may.
-    fn at(&self, assignments: usize) -> Self {
-        if assignments <= MANY {
+    /// Returns the timing for a service of that many assignments: above a threshold renewals are less
+    /// frequent, and TTLs last more than two renewal intervals as far as `max_ttl` allows.
+    fn scale_to(&self, assignment_count: usize) -> Self {
+        if assignment_count <= LARGE_ASSIGNMENT_COUNT {
             return *self;
         }
-        let least = Duration::from_secs_f64(assignments as f64 / MOST_RENEWALS);
+        let min_interval =
+            Duration::from_secs_f64(assignment_count as f64 / MAX_RENEWALS_PER_SECOND);
         let renewal_interval = self
             .slow_renewal
-            .max(least)
-            .min(self.max_ttl.mul_f64(LATEST));
+            .max(min_interval)
+            .min(self.max_ttl.mul_f64(MAX_RENEWAL_SHARE));
         let ttl = renewal_interval
-            .mul_f64(OUTLASTS)
+            .mul_f64(TTL_RENEWAL_RATIO)
             .max(self.ttl)
             .min(self.max_ttl);
         Self {
@@ -61,388 +64,397 @@
     }
 }
 
-/// A target that may own keys, or not.
+/// A running target as a possible owner of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its present run.
+    /// Incarnation that runs now.
     pub incarnation: u64,
-    /// Whether it may own keys.
+    /// Whether the target may own keys.
     pub can_own: bool,
 }
 
-/// What the driver has to do.
+/// A command that the driver has to send to an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Grant or renew.
+    /// Grants keys to their owner or renews the grant.
     Grant {
         /// Keys, owner and fence.
         assignment: Assignment,
-        /// Time for which the owner may serve them.
+        /// Time for which the owner may serve the keys, on its own clock.
         ttl: Duration,
-        /// What the last owner said when it released them.
+        /// Handover value that the last owner returned with its release.
         handover: Option<Name>,
     },
-    /// Take keys back.
+    /// Takes the keys back.
     Release {
         /// Keys, owner and fence.
         assignment: Assignment,
     },
 }
 
-/// How an order ended.
+/// How a command ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// The target took the grant.
+    /// The target accepted the grant.
     Accepted,
     /// The target has seen a higher fence.
     StaleFence,
-    /// The target released the keys.
+    /// The target released the keys, with a handover value if it gave one.
     Released(Option<Name>),
-    /// The order was not sent.
+    /// The command was not sent.
     Unsent,
-    /// Another target has the address: the process of the one that was meant has ended.
+    /// Another target answered at the owner's address, so the owner's process has ended.
     TargetEnded,
-    /// No answer: the order may have been carried out, or may be later.
+    /// No answer: the command may have taken effect, or may do so later.
     Unknown,
 }
 
-/// Pieces from which renewals are less frequent, so that the leader can bear them.
-const MANY: usize = 300;
+/// Assignments above which renewals are less frequent, to bound the leader's load.
+const LARGE_ASSIGNMENT_COUNT: usize = 300;
 
-/// Most orders that are begun at a time; the others follow at the next look.
-const MOST_ORDERS: usize = 200;
+/// Most commands that [`AssignmentManager::next_commands`] starts at once; the next call continues.
+const COMMAND_BATCH_LIMIT: usize = 200;
 
-/// Multiple of the time between two renewals that holds last.
-const OUTLASTS: f64 = 2.4;
+/// TTL of a grant as a multiple of the renewal interval.
+const TTL_RENEWAL_RATIO: f64 = 2.4;
 
-/// Part of the longest hold after which grants are renewed at the latest.
-const LATEST: f64 = 0.45;
+/// Longest renewal interval as a part of the longest TTL.
+const MAX_RENEWAL_SHARE: f64 = 0.45;
 
-/// Most renewals a second that a leader sends.
-const MOST_RENEWALS: f64 = 550.0;
+const MAX_RENEWALS_PER_SECOND: f64 = 550.0;
 
-/// Returns the time after which a grant of the longest hold, sent just now, is not in force any more.
+/// Returns the time after which a grant of the longest TTL, sent now, has expired at the latest.
 pub fn max_grant_lifetime(max_ttl: Duration, delivery_limit: Duration) -> Duration {
     delivery_limit + max_ttl.mul_f64(CLOCK_MARGIN)
 }
 
-/// What is known of the leaders before this one, in times of the store's clock.
+/// Bounds on the grants of earlier leaders, in times of the store's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PreviousLeaders {
-    /// Time after which none of their grants is in force, if they said so.
+    /// Time after which none of their grants is in force; `None` if it is not recorded.
     pub grants_expire: Option<Duration>,
-    /// Time that has passed for sure.
+    /// Earliest time that the store's clock can show now; `None` if it is not known.
     pub earliest_now: Option<Duration>,
 }
 
 impl StoreTimeBound {
-    /// Returns a time of the store's clock that does not come before a moment here, in whole
-    /// milliseconds as rows tell it.
-    fn store_time(&self, at: Instant) -> Duration {
-        let time = self.latest + at.saturating_duration_since(self.local);
+    /// Returns the latest time that the store's clock can show at a local time, rounded up to whole
+    /// milliseconds, the unit of the stored rows.
+    fn latest_at(&self, local: Instant) -> Duration {
+        let time = self.latest + local.saturating_duration_since(self.local);
         Duration::from_millis(time.as_millis() as u64 + 1)
     }
 }
 
 impl PreviousLeaders {
-    /// Returns for how long something may last that ends at a time of the store's clock.
-    fn left(&self, end: Option<Duration>) -> Option<Duration> {
+    /// Returns the longest time that can remain until `end`; `None` if either time is not known.
+    fn time_until(&self, end: Option<Duration>) -> Option<Duration> {
         Some(end?.saturating_sub(self.earliest_now?))
     }
 }
 
-/// A moment by this machine's clock and by the store's.
+/// A local time with an upper bound of the store's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreTimeBound {
-    /// The moment.
+    /// Time of the local clock.
     pub local: Instant,
-    /// Time that the store's clock shows then at the latest.
+    /// Latest time that the store's clock can show at that moment.
     pub latest: Duration,
 }
 
-/// Ownership of one service's keys as its leader keeps it.
+/// The leader's state machine for the assignments of one service.
 #[derive(Debug)]
 pub struct AssignmentManager {
     timing: CommandTiming,
-    fence: Fence,
-    kept: Vec<AssignmentState>,
+    highest_fence: Fence,
+    states: Vec<AssignmentState>,
     ended: BTreeSet<TargetIncarnation>,
 }
 
 impl AssignmentManager {
-    /// Takes over the recorded owners. Grants of former leaders are in force for as long as is known
-    /// of them, or else for the longest time that a grant can last.
+    /// Starts from the recorded owners. Grants of earlier leaders count as in force until their known
+    /// expiry, or else for the longest time that a grant can last.
     pub fn new(
         table: &AssignmentTable,
         timing: CommandTiming,
-        former: PreviousLeaders,
+        previous: PreviousLeaders,
         now: Instant,
     ) -> Self {
         let longest = max_grant_lifetime(timing.max_ttl, timing.delivery_limit);
-        let longest = former
-            .left(former.grants_expire)
+        let longest = previous
+            .time_until(previous.grants_expire)
             .unwrap_or(longest)
             .min(longest);
-        let kept = table.assignments.iter().map(|assignment| {
-            let left = former
-                .left(assignment.expires_at)
+        let states = table.assignments.iter().map(|assignment| {
+            let remaining = previous
+                .time_until(assignment.expires_at)
                 .unwrap_or(longest)
                 .min(longest);
-            let until = assignment.owner.as_ref().map(|_| now + left);
+            let granted_until = assignment.owner.as_ref().map(|_| now + remaining);
             AssignmentState {
-                until,
-                late: until,
-                lost: assignment.fence,
-                // Whose hold is recorded to end gets no grant with that fence any more.
-                leave: assignment.expires_at.map(|_| None),
+                granted_until,
+                late_until: granted_until,
+                late_fence: assignment.fence,
+                // A recorded expiry is valid only if no further grant is sent with that fence.
+                revocation: assignment.expires_at.map(|_| None),
                 ..AssignmentState::new(assignment.clone(), now)
             }
         });
         Self {
             timing,
-            fence: table.highest_fence,
-            kept: kept.collect(),
+            highest_fence: table.highest_fence,
+            states: states.collect(),
             ended: BTreeSet::new(),
         }
     }
 
-    /// Returns the owners as they are recorded.
+    /// Returns the recorded owners, split as the manager handles them.
     pub fn table(&self) -> AssignmentTable {
         AssignmentTable {
             assignments: self
-                .kept
+                .states
                 .iter()
-                .map(|kept| kept.assignment.clone())
+                .map(|state| state.assignment.clone())
                 .collect(),
-            highest_fence: self.fence,
+            highest_fence: self.highest_fence,
         }
     }
 
-    /// Returns the time after which none of its grants is in force, if no further one is sent.
+    /// Returns the time after which no grant is in force, if no further one is sent.
     pub fn remaining_grant_time(&self, now: Instant) -> Duration {
-        let end = |kept: &AssignmentState| {
-            let known = kept.until.max(kept.late);
-            let sent = kept.sent.filter(|_| kept.busy);
-            let arrives =
+        let grant_end = |state: &AssignmentState| {
+            let known = state.granted_until.max(state.late_until);
+            let sent = state.sent_ttl.filter(|_| state.in_flight);
+            let latest =
                 sent.map(|ttl| now + self.timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN));
-            known.max(arrives)
+            known.max(latest)
         };
-        let last = self.kept.iter().filter_map(end).max();
+        let last = self.states.iter().filter_map(grant_end).max();
         last.map_or(Duration::ZERO, |last| last.saturating_duration_since(now))
     }
 
-    /// Returns whether a grant is under way.
+    /// Returns whether a grant has been sent and has not ended.
     pub fn has_grant_in_flight(&self) -> bool {
-        self.kept
+        self.states
             .iter()
-            .any(|kept| kept.busy && kept.sent.is_some())
+            .any(|state| state.in_flight && state.sent_ttl.is_some())
     }
 
-    /// Returns whether keys wait for a new owner or a higher fence, which has to be recorded first,
-    /// or the end of an unreachable owner's hold should be.
+    /// Returns whether an owner, a fence or the expiry of an unreachable owner has to be recorded.
     pub fn needs_recording(&self, now: Instant) -> bool {
-        let waits = |kept: &AssignmentState| kept.free || (kept.refence && !kept.busy);
-        self.kept
+        let is_waiting =
+            |state: &AssignmentState| state.is_free || (state.needs_fence && !state.in_flight);
+        self.states
             .iter()
-            .any(|kept| waits(kept) || kept.lost_end(now).is_some())
+            .any(|state| is_waiting(state) || state.recordable_expiry(now).is_some())
     }
 
-    /// Returns the targets that answer no orders about keys of their own.
+    /// Returns the owners that do not answer commands about their keys.
     pub fn unanswered_owners(&self) -> BTreeSet<Name> {
-        let silent = self.kept.iter().filter(|it| it.silent >= GIVEN_UP);
-        let owners = silent.filter_map(|it| Some(it.assignment.owner.as_ref()?.id.clone()));
+        let unanswered = self
+            .states
+            .iter()
+            .filter(|it| it.unanswered_count >= MAX_UNANSWERED);
+        let owners = unanswered.filter_map(|it| Some(it.assignment.owner.as_ref()?.id.clone()));
         owners.collect()
     }
 
-    /// Returns the runs of targets whose processes have ended.
+    /// Returns the incarnations whose processes are known to have ended.
     pub fn ended_incarnations(&self) -> &BTreeSet<TargetIncarnation> {
         &self.ended
     }
 
-    /// Takes note that the process of a run of a target has ended: it holds nothing any more.
-    pub fn mark_ended(&mut self, life: &TargetIncarnation, now: Instant) {
-        let own = |kept: &&mut AssignmentState| kept.assignment.owner.as_ref() == Some(life);
-        for kept in self.kept.iter_mut().filter(own) {
-            kept.end(now);
+    /// Frees the keys of an incarnation whose process has ended.
+    pub fn mark_ended(&mut self, incarnation: &TargetIncarnation, now: Instant) {
+        let is_owned =
+            |state: &&mut AssignmentState| state.assignment.owner.as_ref() == Some(incarnation);
+        for state in self.states.iter_mut().filter(is_owned) {
+            state.mark_owner_ended(now);
         }
-        self.ended.insert(life.clone());
+        self.ended.insert(incarnation.clone());
     }
 
-    /// Returns the runs of targets that own keys.
+    /// Returns the incarnations that own keys.
     pub fn owners(&self) -> BTreeSet<&TargetIncarnation> {
-        let owners = self.kept.iter();
+        let owners = self.states.iter();
         owners
             .filter_map(|it| it.assignment.owner.as_ref())
             .collect()
     }
 
-    /// Returns whether a piece that begins with this key stays with its owner.
+    /// Returns whether the assignment that begins with this key keeps its owner and its fence.
     pub fn is_settled(&self, first: u16) -> bool {
-        let kept = self
-            .kept_of(first)
+        let state = self
+            .state_for(first)
             .filter(|it| it.assignment.first == first);
-        kept.is_some_and(|kept| kept.leave.is_none() && !kept.free && !kept.refence)
+        state
+            .is_some_and(|state| state.revocation.is_none() && !state.is_free && !state.needs_fence)
     }
 
-    /// Marks the keys of owners that may not own any: unknown, unusable, or in another run.
-    pub fn review_owners(&mut self, all: &BTreeMap<Name, Candidate>, now: Instant) {
-        for kept in &mut self.kept {
-            let Some(owner) = &kept.assignment.owner else {
-                kept.free = true;
+    /// Starts to revoke keys whose owner is unknown, may not own any or runs as a new incarnation.
+    pub fn review_owners(&mut self, candidates: &BTreeMap<Name, Candidate>, now: Instant) {
+        for state in &mut self.states {
+            let Some(owner) = &state.assignment.owner else {
+                state.is_free = true;
                 continue;
             };
-            match all.get(&owner.id) {
+            match candidates.get(&owner.id) {
                 Some(it) if it.can_own && it.incarnation == owner.incarnation => {}
-                _ => kept.leave(None, now),
+                _ => state.start_revocation(None, now),
             }
         }
     }
 
-    /// Begins to move keys to another target; the keys must lie in one piece.
-    pub fn start_transfer(&mut self, first: u16, last: u16, to: &Name, now: Instant) {
-        self.cut(first, last);
-        for kept in &mut self.kept {
-            let inside = first <= kept.assignment.first && kept.assignment.last <= last;
-            if inside && kept.leave.is_none() && !kept.free && !kept.busy {
-                kept.leave(Some(to.clone()), now);
+    /// Starts to move keys to another target; the keys must lie in one assignment.
+    ///
+    /// Keys that are already changing their owner, or wait for the end of a command, are left out.
+    pub fn start_transfer(&mut self, first: u16, last: u16, new_owner: &Name, now: Instant) {
+        self.split_around(first, last);
+        for state in &mut self.states {
+            let is_inside = first <= state.assignment.first && state.assignment.last <= last;
+            if is_inside && state.revocation.is_none() && !state.is_free && !state.in_flight {
+                state.start_revocation(Some(new_owner.clone()), now);
             }
         }
     }
 
-    /// Returns the orders that are due; `strained` says that the store is out of reach.
-    pub fn next_commands(&mut self, strained: bool, now: Instant) -> Vec<Command> {
-        let timing = self.timing.at(self.kept.len());
-        let ttl = match strained {
+    /// Returns the commands to send now, which count as in flight from here on.
+    pub fn next_commands(&mut self, is_store_unreachable: bool, now: Instant) -> Vec<Command> {
+        let timing = self.timing.scale_to(self.states.len());
+        let ttl = match is_store_unreachable {
             true => timing.long_ttl,
             false => timing.ttl,
         };
-        self.join();
-        let mut orders = Vec::new();
-        for kept in &mut self.kept {
-            kept.expire(now);
-            if kept.busy || kept.free || kept.refence || now < kept.next {
+        self.merge_neighbours();
+        let mut commands = Vec::new();
+        for state in &mut self.states {
+            state.expire_grants(now);
+            if state.in_flight || state.is_free || state.needs_fence || now < state.command_due {
                 continue;
             }
-            if kept.assignment.owner.is_none() {
+            if state.assignment.owner.is_none() {
                 continue;
             }
-            if orders.len() == MOST_ORDERS {
+            if commands.len() == COMMAND_BATCH_LIMIT {
                 break;
             }
-            kept.busy = true;
-            let assignment = kept.assignment.clone();
-            let releases = kept.leave.is_some() && !kept.shields();
-            kept.sent = (!releases).then_some(ttl);
-            orders.push(match releases {
+            state.in_flight = true;
+            let assignment = state.assignment.clone();
+            let is_release = state.revocation.is_some() && !state.has_unaccepted_fence();
+            state.sent_ttl = (!is_release).then_some(ttl);
+            commands.push(match is_release {
                 true => Command::Release { assignment },
                 false => Command::Grant {
                     assignment,
                     ttl,
-                    handover: kept.handover.clone(),
+                    handover: state.handover.clone(),
                 },
             });
         }
-        orders
+        commands
     }
 
-    /// Takes the end of an order that was sent at `sent`.
+    /// Applies the outcome of a command that was sent at `sent`.
     pub fn handle_outcome(
         &mut self,
-        order: &Command,
-        done: CommandOutcome,
+        command: &Command,
+        outcome: CommandOutcome,
         sent: Instant,
         now: Instant,
     ) {
-        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
-        let timing = self.timing.at(self.kept.len());
-        for kept in &mut self.kept {
-            let same = kept.assignment.fence == assignment.fence
-                && kept.assignment.owner == assignment.owner
-                && assignment.first <= kept.assignment.first
-                && kept.assignment.last <= assignment.last;
-            if same {
-                kept.done(order, &done, &timing, (sent, now));
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
+        let timing = self.timing.scale_to(self.states.len());
+        for state in &mut self.states {
+            let is_match = state.assignment.fence == assignment.fence
+                && state.assignment.owner == assignment.owner
+                && assignment.first <= state.assignment.first
+                && state.assignment.last <= assignment.last;
+            if is_match {
+                state.handle_outcome(command, &outcome, &timing, (sent, now));
             }
-            if same && done == CommandOutcome::TargetEnded {
-                self.ended.extend(kept.assignment.owner.clone());
+            if is_match && outcome == CommandOutcome::TargetEnded {
+                self.ended.extend(state.assignment.owner.clone());
             }
         }
     }
 
-    /// Returns the owners to record next: `place` chooses a target for each free piece.
+    /// Returns the table to record next, or `None` if nothing has to be recorded.
     ///
-    /// The table is not in force before [`AssignmentManager::apply_recorded`] is called with it. Without a time of
-    /// the store's clock it says of no further owner when its hold ends.
+    /// `choose_owner` gets each free assignment with the target that it was to move to. The table
+    /// takes effect only with [`AssignmentManager::apply_recorded`]. Without `store_time` it has no
+    /// further expiries of unreachable owners' grants.
     pub fn propose_table(
         &self,
-        present: Option<StoreTimeBound>,
-        mut place: impl FnMut(&Assignment, Option<&Name>) -> Option<TargetIncarnation>,
+        store_time: Option<StoreTimeBound>,
+        mut choose_owner: impl FnMut(&Assignment, Option<&Name>) -> Option<TargetIncarnation>,
     ) -> Option<AssignmentTable> {
         let mut table = self.table();
         let mut changed = false;
-        for (at, kept) in self.kept.iter().enumerate() {
-            if kept.free {
-                let wish = kept.leave.as_ref().and_then(|to| to.as_ref());
-                let Some(life) = place(&kept.assignment, wish) else {
+        for (index, state) in self.states.iter().enumerate() {
+            if state.is_free {
+                let wanted = state.revocation.as_ref().and_then(|target| target.as_ref());
+                let Some(owner) = choose_owner(&state.assignment, wanted) else {
                     continue;
                 };
-                table.assignments[at].owner = Some(life);
-            } else if !kept.refence || kept.busy {
-                let end = present.and_then(|it| Some(it.store_time(kept.lost_end(it.local)?)));
-                table.assignments[at].expires_at = table.assignments[at].expires_at.or(end);
-                changed |= end.is_some();
+                table.assignments[index].owner = Some(owner);
+            } else if !state.needs_fence || state.in_flight {
+                let expiry = store_time
+                    .and_then(|it| Some(it.latest_at(state.recordable_expiry(it.local)?)));
+                table.assignments[index].expires_at =
+                    table.assignments[index].expires_at.or(expiry);
+                changed |= expiry.is_some();
                 continue;
             }
-            table.assignments[at].fence = table.advance_fence();
-            table.assignments[at].expires_at = None;
+            table.assignments[index].fence = table.advance_fence();
+            table.assignments[index].expires_at = None;
             changed = true;
         }
         changed.then_some(table)
     }
 
-    /// Takes over a table that was proposed and is now recorded.
+    /// Applies a proposed table that is recorded now.
     ///
-    /// Keys may have been cut otherwise since the proposal; what is known of each stays its own.
+    /// Assignments may have been split or merged since the proposal; each key keeps its own state.
     pub fn apply_recorded(&mut self, table: &AssignmentTable, now: Instant) {
-        self.fence = self.fence.max(table.highest_fence);
-        let assignments: Vec<(u16, u16)> = self
-            .kept
+        self.highest_fence = self.highest_fence.max(table.highest_fence);
+        let ranges: Vec<(u16, u16)> = self
+            .states
             .iter()
-            .map(|kept| (kept.assignment.first, kept.assignment.last))
+            .map(|state| (state.assignment.first, state.assignment.last))
             .collect();
         let mut table = table.clone();
-        for (first, last) in assignments {
+        for (first, last) in ranges {
             table.split_around(first, last);
         }
-        let kept = table.assignments.into_iter().filter_map(|assignment| {
-            let before = self.kept_of(assignment.first)?;
-            Some(before.recorded(assignment, now))
+        let states = table.assignments.into_iter().filter_map(|assignment| {
+            let before = self.state_for(assignment.first)?;
+            Some(before.with_recorded(assignment, now))
         });
-        self.kept = kept.collect();
+        self.states = states.collect();
     }
 
-    /// Returns what is known of the piece of a key.
-    fn kept_of(&self, key: u16) -> Option<&AssignmentState> {
-        let after = self.kept.partition_point(|it| it.assignment.first <= key);
-        self.kept[..after].last()
+    /// Returns the state of the assignment that contains a key.
+    fn state_for(&self, key: u16) -> Option<&AssignmentState> {
+        let after = self.states.partition_point(|it| it.assignment.first <= key);
+        self.states[..after].last()
     }
 
-    /// Divides keys that never had an owner into equal pieces, one for each of `count` targets.
+    /// Splits keys that never had an owner into `count` equal assignments, one for each target.
     pub fn split_evenly(&mut self, count: u32) {
-        let whole = self.kept.len() == 1 && self.kept[0].assignment.owner.is_none();
-        if !whole || count < 2 {
+        let is_unassigned = self.states.len() == 1 && self.states[0].assignment.owner.is_none();
+        if !is_unassigned || count < 2 {
             return;
         }
         let size = (u32::from(u16::MAX) + 1) / count;
-        let whole = self.kept[0].clone();
-        let part = |at: u32| {
-            let last = if at + 1 == count {
+        let whole = self.states[0].clone();
+        let part = |index: u32| {
+            let last = if index + 1 == count {
                 u16::MAX
             } else {
-                ((at + 1) * size - 1) as u16
+                ((index + 1) * size - 1) as u16
             };
             let assignment = Assignment {
-                first: (at * size) as u16,
+                first: (index * size) as u16,
                 last,
                 ..whole.assignment.clone()
             };
@@ -451,36 +463,36 @@
                 ..whole.clone()
             }
         };
-        self.kept = (0..count).map(part).collect();
+        self.states = (0..count).map(part).collect();
     }
 
-    /// Joins neighbours that belong to one owner under one fence, so that one grant serves both.
-    fn join(&mut self) {
-        self.kept.dedup_by(|next, kept| {
-            let same = kept.assignment.owner == next.assignment.owner
-                && kept.assignment.fence == next.assignment.fence;
-            let quiet = kept.is_quiet() && next.is_quiet();
-            if same && quiet {
-                kept.assignment.last = next.assignment.last;
-                kept.until = kept.until.max(next.until);
-                kept.late = kept.late.max(next.late);
-                kept.lost = kept.lost.max(next.lost);
-                kept.next = kept.next.min(next.next);
+    /// Merges neighbours with the same owner and fence, so that one grant covers both.
+    fn merge_neighbours(&mut self) {
+        self.states.dedup_by(|next, state| {
+            let is_match = state.assignment.owner == next.assignment.owner
+                && state.assignment.fence == next.assignment.fence;
+            let are_idle = state.is_idle() && next.is_idle();
+            if is_match && are_idle {
+                state.assignment.last = next.assignment.last;
+                state.granted_until = state.granted_until.max(next.granted_until);
+                state.late_until = state.late_until.max(next.late_until);
+                state.late_fence = state.late_fence.max(next.late_fence);
+                state.command_due = state.command_due.min(next.command_due);
             }
-            same && quiet
+            is_match && are_idle
         });
     }
 
-    fn cut(&mut self, first: u16, last: u16) {
+    fn split_around(&mut self, first: u16, last: u16) {
         let mut table = self.table();
         table.split_around(first, last);
-        let kept = table.assignments.into_iter().filter_map(|assignment| {
-            let before = self.kept_of(assignment.first)?;
+        let states = table.assignments.into_iter().filter_map(|assignment| {
+            let before = self.state_for(assignment.first)?;
             Some(AssignmentState {
                 assignment,
                 ..before.clone()
             })
         });
-        self.kept = kept.collect();
+        self.states = states.collect();
     }
 }
--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -11,28 +11,28 @@
 };
 
 /// Time in which the weight of a request falls to a third.
-const MEMORY: Duration = Duration::from_secs(3);
+const DECAY_TIME: Duration = Duration::from_secs(3);
 /// Load of a key that got no request, in requests; it spreads keys before any traffic is seen.
-const REST: f64 = 0.0005;
+const IDLE_KEY_LOAD: f64 = 0.0005;
 /// Ratio of the highest to the mean load from which keys are moved.
-const UNEVEN: f64 = 1.25;
+const MIN_IMBALANCE: f64 = 1.25;
 /// Smallest share of the mean load that is worth a move.
-const WORTH: f64 = 0.08;
+const MIN_MOVED_SHARE: f64 = 0.08;
 /// Multiple of a load's standard deviation that a difference must exceed to be one.
-const CERTAIN: f64 = 1.2;
+const MIN_DEVIATIONS: f64 = 1.2;
 /// Pieces for each target from which only a whole piece is moved.
-const MOST_PIECES: usize = 6;
+const MAX_ASSIGNMENTS_PER_TARGET: usize = 6;
 /// The same of a large service, each of whose pieces costs the leader a renewal: so many, and so
 /// many for each target.
-const LARGE_PIECES: (usize, usize) = (200, 2);
+const LARGE_SERVICE_ASSIGNMENTS: (usize, usize) = (200, 2);
 /// Weight below which a key is forgotten, in requests.
-const FORGOTTEN: f64 = 0.02;
+const MIN_TRACKED_WEIGHT: f64 = 0.02;
 
 /// Requests of late by key, older ones counting less.
 #[derive(Debug, Default)]
 pub struct KeyLoads {
-    keys: BTreeMap<u16, f64>,
-    since: Option<Instant>,
+    weights: BTreeMap<u16, f64>,
+    decayed_at: Option<Instant>,
 }
 
 /// Work that a target can do, in relation to others; above 0.
@@ -52,33 +52,33 @@
 impl KeyLoads {
     /// Counts requests for a key.
     pub fn add_requests(&mut self, key: u16, requests: f64) {
-        *self.keys.entry(key).or_default() += requests;
+        *self.weights.entry(key).or_default() += requests;
     }
 
     /// Lets the weight of former requests fall.
     pub fn decay(&mut self, now: Instant) {
-        let since = self.since.replace(now).unwrap_or(now);
-        let passed = now.duration_since(since).as_secs_f64();
-        let factor = (-passed / MEMORY.as_secs_f64()).exp();
-        self.keys.retain(|_, weight| {
+        let before = self.decayed_at.replace(now).unwrap_or(now);
+        let passed = now.duration_since(before).as_secs_f64();
+        let factor = (-passed / DECAY_TIME.as_secs_f64()).exp();
+        self.weights.retain(|_, weight| {
             *weight *= factor;
-            *weight > FORGOTTEN
+            *weight > MIN_TRACKED_WEIGHT
         });
     }
 
     /// Returns the load of keys.
     pub fn range_load(&self, first: u16, last: u16) -> f64 {
-        let seen: f64 = self
-            .keys
+        let counted: f64 = self
+            .weights
             .range(first..=last)
             .map(|(_, weight)| weight)
             .sum();
         let count = u32::from(last) - u32::from(first) + 1;
-        seen + REST * f64::from(count)
+        counted + IDLE_KEY_LOAD * f64::from(count)
     }
 
     /// Returns the first key of the upper half of a piece of two keys or more, by load.
-    fn middle(&self, assignment: &Assignment) -> u16 {
+    fn find_middle(&self, assignment: &Assignment) -> u16 {
         let half = self.range_load(assignment.first, assignment.last) / 2.0;
         let (mut low, mut high) = (assignment.first + 1, assignment.last);
         while low < high {
@@ -92,22 +92,22 @@
     }
 
     /// Returns the keys of the heaviest range within a piece whose load is at most `most`.
-    fn heaviest(&self, assignment: &Assignment, most: f64) -> Option<(u16, u16, f64)> {
-        let seen: Vec<(u16, f64)> = self
-            .keys
+    fn find_heaviest(&self, assignment: &Assignment, max_load: f64) -> Option<(u16, u16, f64)> {
+        let entries: Vec<(u16, f64)> = self
+            .weights
             .range(assignment.first..=assignment.last)
             .map(|(key, weight)| (*key, *weight))
             .collect();
         let mut best: Option<(u16, u16, f64)> = None;
         let (mut start, mut sum) = (0, 0.0);
-        for (at, (key, weight)) in seen.iter().enumerate() {
+        for (index, (key, weight)) in entries.iter().enumerate() {
             sum += weight;
-            while sum > most && start <= at {
-                sum -= seen[start].1;
+            while sum > max_load && start <= index {
+                sum -= entries[start].1;
                 start += 1;
             }
-            if start <= at && best.is_none_or(|(_, _, found)| sum > found) {
-                best = Some((seen[start].0, *key, sum));
+            if start <= index && best.is_none_or(|(_, _, found)| sum > found) {
+                best = Some((entries[start].0, *key, sum));
             }
         }
         best
@@ -125,13 +125,15 @@
 impl TargetsByLoad {
     /// Takes targets with their capacities, and the loads of targets.
     pub fn new<'a>(
-        open: impl Iterator<Item = (&'a Name, &'a f64)>,
-        sums: &BTreeMap<Name, f64>,
+        targets: impl Iterator<Item = (&'a Name, &'a f64)>,
+        target_loads: &BTreeMap<Name, f64>,
     ) -> Self {
-        let load = |name: &Name| sums.get(name).copied().unwrap_or(0.0).max(0.0);
-        let loads = open.map(|(name, size)| (name.clone(), (load(name), *size)));
+        let load = |name: &Name| target_loads.get(name).copied().unwrap_or(0.0).max(0.0);
+        let loads = targets.map(|(name, capacity)| (name.clone(), (load(name), *capacity)));
         let loads: BTreeMap<Name, (f64, f64)> = loads.collect();
-        let order = loads.iter().map(|(name, it)| (ratio(*it), name.clone()));
+        let order = loads
+            .iter()
+            .map(|(name, it)| (ratio_bits(*it), name.clone()));
         let order = order.collect();
         Self { loads, order }
     }
@@ -144,15 +146,15 @@
     /// Adds to the load of a target.
     pub fn add_load(&mut self, name: &Name, load: f64) {
         if let Some(known) = self.loads.get_mut(name) {
-            self.order.remove(&(ratio(*known), name.clone()));
+            self.order.remove(&(ratio_bits(*known), name.clone()));
             known.0 += load;
-            self.order.insert((ratio(*known), name.clone()));
+            self.order.insert((ratio_bits(*known), name.clone()));
         }
     }
 }
 
-fn ratio((load, size): (f64, f64)) -> u64 {
-    (load / size).to_bits()
+fn ratio_bits((load, capacity): (f64, f64)) -> u64 {
+    (load / capacity).to_bits()
 }
 
 /// Returns at most `count` transfers that make the loads more even.
@@ -162,92 +164,93 @@
 pub fn rebalance(
     table: &AssignmentTable,
     loads: &KeyLoads,
-    capacity: &TargetCapacities,
-    count: usize,
-    fixed: impl Fn(&Assignment) -> bool,
+    capacities: &TargetCapacities,
+    max_transfers: usize,
+    is_fixed: impl Fn(&Assignment) -> bool,
 ) -> Vec<Transfer> {
-    let mut sums: BTreeMap<Name, f64> = capacity.keys().map(|name| (name.clone(), 0.0)).collect();
+    let mut target_loads: BTreeMap<Name, f64> =
+        capacities.keys().map(|name| (name.clone(), 0.0)).collect();
     for assignment in &table.assignments {
         if let Some(sum) = assignment
             .owner
             .as_ref()
-            .and_then(|it| sums.get_mut(&it.id))
+            .and_then(|it| target_loads.get_mut(&it.id))
         {
             *sum += loads.range_load(assignment.first, assignment.last);
         }
     }
-    let assignments = table.assignments.iter().filter(|it| !fixed(it));
-    let mut spread = Spread {
+    let assignments = table.assignments.iter().filter(|it| !is_fixed(it));
+    let mut rebalancer = Rebalancer {
         assignments: assignments.cloned().collect(),
         loads,
-        capacity,
-        sums,
-        moved: Vec::new(),
+        capacities,
+        target_loads,
+        transfers: Vec::new(),
     };
     let owners: BTreeSet<&Name> = table
         .assignments
         .iter()
         .filter_map(|assignment| Some(&assignment.owner.as_ref()?.id))
         .collect();
-    for empty in capacity.keys().filter(|name| !owners.contains(name)) {
-        if spread.moved.len() < count {
-            spread.fill(empty);
+    for empty in capacities.keys().filter(|name| !owners.contains(name)) {
+        if rebalancer.transfers.len() < max_transfers {
+            rebalancer.fill_empty_target(empty);
         }
     }
-    while spread.moved.len() < count && spread.step() {}
-    spread.moved
+    while rebalancer.transfers.len() < max_transfers && rebalancer.move_from_most_loaded() {}
+    rebalancer.transfers
 }
 
 /// Loads while transfers are being chosen.
-struct Spread<'a> {
+struct Rebalancer<'a> {
     assignments: Vec<Assignment>,
     loads: &'a KeyLoads,
-    capacity: &'a TargetCapacities,
-    sums: BTreeMap<Name, f64>,
-    moved: Vec<Transfer>,
+    capacities: &'a TargetCapacities,
+    target_loads: BTreeMap<Name, f64>,
+    transfers: Vec<Transfer>,
 }
 
-impl Spread<'_> {
+impl Rebalancer<'_> {
     /// Returns the load of a target for its capacity.
-    fn ratio(&self, name: &Name) -> f64 {
-        self.sums.get(name).copied().unwrap_or(0.0) / self.capacity[name]
+    fn load_ratio(&self, name: &Name) -> f64 {
+        self.target_loads.get(name).copied().unwrap_or(0.0) / self.capacities[name]
     }
 
     /// Returns the targets, the most loaded first.
-    fn by_load(&self) -> Vec<Name> {
-        let mut names: Vec<Name> = self.capacity.keys().cloned().collect();
-        names.sort_by(|a, b| self.ratio(b).total_cmp(&self.ratio(a)));
+    fn targets_by_load(&self) -> Vec<Name> {
+        let mut names: Vec<Name> = self.capacities.keys().cloned().collect();
+        names.sort_by(|a, b| self.load_ratio(b).total_cmp(&self.load_ratio(a)));
         names
     }
 
     /// Returns the pieces of a target that have not moved.
-    fn pieces_of<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Assignment> {
+    fn movable_assignments<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Assignment> {
         self.assignments.iter().filter(move |assignment| {
-            let owned = assignment.owner.as_ref().is_some_and(|it| it.id == *owner);
-            owned && self.is_movable(assignment)
+            let is_owned = assignment.owner.as_ref().is_some_and(|it| it.id == *owner);
+            is_owned && self.is_movable(assignment)
         })
     }
 
     /// Returns whether no part of a piece has moved.
     fn is_movable(&self, assignment: &Assignment) -> bool {
         !self
-            .moved
+            .transfers
             .iter()
             .any(|it| assignment.contains_key(it.first))
     }
 
     /// Gives a target without a key a half of the busiest piece of the most loaded target that has
     /// one that can be cut.
-    fn fill(&mut self, empty: &Name) {
+    fn fill_empty_target(&mut self, empty: &Name) {
         let movable = self
             .assignments
             .iter()
             .filter(|assignment| self.is_movable(assignment));
         let found = movable.filter_map(|assignment| {
             let owner = &assignment.owner.as_ref()?.id;
-            let known = assignment.len() > 1 && self.sums.contains_key(owner);
+            let can_split = assignment.len() > 1 && self.target_loads.contains_key(owner);
             let load = self.loads.range_load(assignment.first, assignment.last);
-            known.then(|| (self.ratio(owner), load, assignment))
+            can_split.then(|| (self.load_ratio(owner), load, assignment))
         });
         let order = |a: &(f64, f64, &Assignment), b: &(f64, f64, &Assignment)| {
             a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
@@ -255,9 +258,9 @@
         let Some((_, _, assignment)) = found.max_by(order) else {
             return;
         };
-        let keys = (self.loads.middle(assignment), assignment.last);
+        let keys = (self.loads.find_middle(assignment), assignment.last);
         if let Some(owner) = assignment.owner.as_ref().map(|it| it.id.clone()) {
-            self.transfer(&owner, keys, empty);
+            self.add_transfer(&owner, keys, empty);
         }
     }
 
@@ -266,57 +269,64 @@
     ///
     /// A target that is left above the others, with a single hot key for example, does not count
     /// for what is even among them.
-    fn step(&mut self) -> bool {
-        let order = self.by_load();
-        let Some(least) = order.last() else {
+    fn move_from_most_loaded(&mut self) -> bool {
+        let targets = self.targets_by_load();
+        let Some(least_loaded) = targets.last() else {
             return false;
         };
-        let mut load: f64 = self.sums.values().sum();
-        let mut size: f64 = self.capacity.values().sum();
-        for most in &order {
-            let mean = load / size;
-            if self.ratio(most) < UNEVEN * mean {
+        let mut total_load: f64 = self.target_loads.values().sum();
+        let mut total_capacity: f64 = self.capacities.values().sum();
+        for most_loaded in &targets {
+            let mean = total_load / total_capacity;
+            if self.load_ratio(most_loaded) < MIN_IMBALANCE * mean {
                 return false;
             }
-            if let Some(keys) = self.part_of(most, least, mean) {
-                self.transfer(most, keys, least);
+            if let Some(keys) = self.choose_keys(most_loaded, least_loaded, mean) {
+                self.add_transfer(most_loaded, keys, least_loaded);
                 return true;
             }
-            load -= self.ratio(most) * self.capacity[most];
-            size -= self.capacity[most];
+            total_load -= self.load_ratio(most_loaded) * self.capacities[most_loaded];
+            total_capacity -= self.capacities[most_loaded];
         }
         false
     }
 
     /// Returns the keys of one target that are best moved to another.
-    fn part_of(&self, most: &Name, least: &Name, mean: f64) -> Option<(u16, u16)> {
-        let (high, low) = (self.ratio(most), self.ratio(least));
-        let surplus = (high - mean) * self.capacity[most];
+    fn choose_keys(
+        &self,
+        most_loaded: &Name,
+        least_loaded: &Name,
+        mean: f64,
+    ) -> Option<(u16, u16)> {
+        let (high, low) = (self.load_ratio(most_loaded), self.load_ratio(least_loaded));
+        let surplus = (high - mean) * self.capacities[most_loaded];
         // The number of requests in a while varies by its square root.
-        if surplus < CERTAIN * (high * self.capacity[most]).sqrt() {
+        if surplus < MIN_DEVIATIONS * (high * self.capacities[most_loaded]).sqrt() {
             return None;
         }
-        let room = (mean - low) * self.capacity[least];
+        let headroom = (mean - low) * self.capacities[least_loaded];
         // Half of the difference at most, so that the receiver doesn't become the fullest.
         let wanted = surplus
-            .min(room)
-            .max((high - low) * self.capacity[least] * 0.4);
-        let floor = WORTH * mean * self.capacity[most];
-        let split = self.assignments.len() + self.moved.len() < most_pieces(self.capacity.len());
-        let parts = self.pieces_of(most);
-        let parts = parts.filter_map(|assignment| part(assignment, self.loads, wanted, split));
+            .min(headroom)
+            .max((high - low) * self.capacities[least_loaded] * 0.4);
+        let min_load = MIN_MOVED_SHARE * mean * self.capacities[most_loaded];
+        let can_split =
+            self.assignments.len() + self.transfers.len() < max_assignments(self.capacities.len());
+        let parts = self.movable_assignments(most_loaded);
+        let parts =
+            parts.filter_map(|assignment| choose_part(assignment, self.loads, wanted, can_split));
         let best = parts
-            .filter(|(_, _, load)| *load >= floor)
+            .filter(|(_, _, load)| *load >= min_load)
             .max_by(|a, b| a.2.total_cmp(&b.2))?;
         Some((best.0, best.1))
     }
 
-    fn transfer(&mut self, from: &Name, (first, last): (u16, u16), to: &Name) {
+    fn add_transfer(&mut self, from: &Name, (first, last): (u16, u16), to: &Name) {
         let load = self.loads.range_load(first, last);
-        *self.sums.entry(from.clone()).or_default() -= load;
-        *self.sums.entry(to.clone()).or_default() += load;
+        *self.target_loads.entry(from.clone()).or_default() -= load;
+        *self.target_loads.entry(to.clone()).or_default() += load;
         let new_owner = to.clone();
-        self.moved.push(Transfer {
+        self.transfers.push(Transfer {
             first,
             last,
             new_owner,
@@ -325,24 +335,24 @@
 }
 
 /// Returns how many pieces the keys of a service with so many targets may have.
-fn most_pieces(targets: usize) -> usize {
-    let (some, each) = LARGE_PIECES;
-    (MOST_PIECES * targets).min(some + each * targets)
+fn max_assignments(targets: usize) -> usize {
+    let (base, per_target) = LARGE_SERVICE_ASSIGNMENTS;
+    (MAX_ASSIGNMENTS_PER_TARGET * targets).min(base + per_target * targets)
 }
 
 /// Returns the part of a piece that fits best into `wanted`: the whole, an end, or a range within.
-fn part(
+fn choose_part(
     assignment: &Assignment,
     loads: &KeyLoads,
     wanted: f64,
-    split: bool,
+    can_split: bool,
 ) -> Option<(u16, u16, f64)> {
-    let whole = loads.range_load(assignment.first, assignment.last);
-    if whole <= wanted {
-        return Some((assignment.first, assignment.last, whole));
+    let load = loads.range_load(assignment.first, assignment.last);
+    if load <= wanted {
+        return Some((assignment.first, assignment.last, load));
     }
-    if !split {
+    if !can_split {
         return None;
     }
-    loads.heaviest(assignment, wanted)
+    loads.find_heaviest(assignment, wanted)
 }
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -1,4 +1,4 @@
-//! One recorded piece of keys, and what its leader knows of the owner's hold on it.
+//! Leader's state for one assignment: what its owner may have been granted, and what comes next.
 
 use {
     super::{
@@ -10,72 +10,77 @@
     tokio::time::Instant,
 };
 
-/// Slowest rate of a target's clock is 2% below the true one; holds are counted 3% longer.
+/// Factor by which the leader lengthens a grant's TTL, as a target's clock may run 2% slow and so
+/// end the grant later.
 pub(super) const CLOCK_MARGIN: f64 = 1.03;
 
-/// Orders in a row without an answer after which keys leave their owner.
-pub(super) const GIVEN_UP: u32 = 3;
+/// Consecutive commands without an answer after which keys are revoked from their owner.
+pub(super) const MAX_UNANSWERED: u32 = 3;
 
-/// Orders in a row without an answer after which the end of the owner's hold is recorded, so that
-/// a further leader need not assume that its predecessor granted the keys just before it ended.
-const UNREACHABLE: u32 = 2;
+/// Consecutive commands without an answer after which the expiry of the owner's grant is recorded.
+///
+/// Without that record, the next leader has to assume that the keys were granted just before this
+/// one ended.
+const UNANSWERED_BEFORE_EXPIRY: u32 = 2;
 
-/// Shortest time until that end for which a record is worth its write.
-const WORTH_RECORD: Duration = Duration::from_millis(1500);
+/// Shortest time until that expiry for which the record is worth a write to the store.
+const MIN_REMAINING_TO_RECORD: Duration = Duration::from_millis(1500);
 
-/// Most doublings of the time after which an order that failed is sent again.
-const MOST_DOUBLINGS: u32 = 3;
+/// Most doublings of the retry delay after failed commands.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// A recorded piece with what may be true of it at its owner.
+/// A recorded assignment and what may be in force at its owner.
 #[derive(Clone, Debug)]
 pub(super) struct AssignmentState {
     pub assignment: Assignment,
-    /// Time until which its owner may serve it.
-    pub until: Option<Instant>,
-    /// Time until which a grant without an answer may still give it to its owner.
-    pub late: Option<Instant>,
-    /// Highest fence of a grant without an answer.
-    pub lost: Fence,
-    /// Time of the next order.
-    pub next: Instant,
-    /// Whether an order is on its way.
-    pub busy: bool,
-    /// Hold of the last grant that was sent.
-    pub sent: Option<Duration>,
-    /// Whether it is to leave its owner, and for whom if that is decided.
-    pub leave: Option<Option<Name>>,
-    /// Whether its owner has released it, or has ended.
-    pub free: bool,
-    /// What the last owner said when it released it.
+    /// Latest time until which the owner may serve the keys; `None` if they never had an owner.
+    pub granted_until: Option<Instant>,
+    /// Time until which a late grant, one without an answer, may still be in force.
+    pub late_until: Option<Instant>,
+    /// Highest fence of a late grant.
+    pub late_fence: Fence,
+    /// Time of the next command.
+    pub command_due: Instant,
+    /// Whether a command has been sent and has not ended.
+    pub in_flight: bool,
+    /// TTL of the last command if that was a grant, `None` for a release.
+    pub sent_ttl: Option<Duration>,
+    /// `Some` while the keys are being revoked, with the target that gets them if it is chosen.
+    pub revocation: Option<Option<Name>>,
+    /// Whether the keys wait for a new owner.
+    pub is_free: bool,
+    /// Handover value that the last owner returned with its release, for the next grant.
     pub handover: Option<Name>,
-    /// Whether its owner gets a higher fence with the next record.
-    pub refence: bool,
-    /// Orders in a row that got no answer.
-    pub silent: u32,
+    /// Whether the owner has to get a higher fence with the next record.
+    pub needs_fence: bool,
+    /// Consecutive commands that were not sent or got no answer.
+    pub unanswered_count: u32,
 }
 
 impl AssignmentState {
     pub fn new(assignment: Assignment, now: Instant) -> Self {
         Self {
             assignment,
-            until: None,
-            late: None,
-            lost: Fence(0),
-            next: now,
-            busy: false,
-            sent: None,
-            leave: None,
-            free: false,
+            granted_until: None,
+            late_until: None,
+            late_fence: Fence(0),
+            command_due: now,
+            in_flight: false,
+            sent_ttl: None,
+            revocation: None,
+            is_free: false,
             handover: None,
-            refence: false,
-            silent: 0,
+            needs_fence: false,
+            unanswered_count: 0,
         }
     }
 
-    /// Returns what is true of a piece of these keys once it is recorded.
-    pub fn recorded(&self, assignment: Assignment, now: Instant) -> Self {
+    /// Returns the state after `assignment`, a part of these keys, was recorded.
+    ///
+    /// A new fence for free keys means a new owner, of which nothing is known yet.
+    pub fn with_recorded(&self, assignment: Assignment, now: Instant) -> Self {
         let changed = assignment.fence != self.assignment.fence;
-        if self.free && changed {
+        if self.is_free && changed {
             return Self {
                 handover: self.handover.clone(),
                 ..Self::new(assignment, now)
@@ -86,125 +91,137 @@
             ..self.clone()
         };
         if changed {
-            next.refence = false;
-            next.next = now;
+            next.needs_fence = false;
+            next.command_due = now;
         }
         next
     }
 
-    /// Begins to leave the owner, unless that has begun.
-    pub fn leave(&mut self, to: Option<Name>, now: Instant) {
-        if self.leave.is_some() || self.free {
+    /// Starts to revoke the keys, unless they are free or being revoked.
+    pub fn start_revocation(&mut self, to: Option<Name>, now: Instant) {
+        if self.revocation.is_some() || self.is_free {
             return;
         }
-        self.leave = Some(to);
+        self.revocation = Some(to);
         self.handover = None;
-        self.next = now;
+        self.command_due = now;
     }
 
-    /// Frees keys whose owner's process has ended.
-    pub fn end(&mut self, now: Instant) {
-        self.leave(None, now);
-        self.set_free(None);
+    /// Frees the keys because the owner's process has ended.
+    pub fn mark_owner_ended(&mut self, now: Instant) {
+        self.start_revocation(None, now);
+        self.mark_free(None);
     }
 
-    fn set_free(&mut self, handover: Option<Name>) {
-        if self.free {
+    fn mark_free(&mut self, handover: Option<Name>) {
+        if self.is_free {
             return;
         }
-        self.free = true;
-        self.refence = false;
+        self.is_free = true;
+        self.needs_fence = false;
         self.handover = handover;
     }
 
-    /// Returns whether nothing is under way.
-    pub fn is_quiet(&self) -> bool {
-        let waits = self.busy || self.free || self.refence || self.leave.is_some();
-        !waits && self.assignment.owner.is_some() && self.handover.is_none()
+    /// Returns whether no command, revocation, record or handover is outstanding.
+    pub fn is_idle(&self) -> bool {
+        let is_pending =
+            self.in_flight || self.is_free || self.needs_fence || self.revocation.is_some();
+        !is_pending && self.assignment.owner.is_some() && self.handover.is_none()
     }
 
-    /// Returns whether the owner has yet to take the fence that makes it refuse late grants.
-    pub fn shields(&self) -> bool {
-        self.late.is_some() && self.assignment.fence > self.lost
+    /// Returns whether the owner has yet to accept the fence that makes it refuse late grants.
+    pub fn has_unaccepted_fence(&self) -> bool {
+        self.late_until.is_some() && self.assignment.fence > self.late_fence
     }
 
-    /// Returns when the hold of an owner that is to lose the keys, and cannot be reached, has run out
-    /// for sure; `None` where that is recorded or not worth it.
-    pub fn lost_end(&self, now: Instant) -> Option<Instant> {
-        let lost = self.leave.is_some() && self.silent >= UNREACHABLE;
-        if !lost || self.free || self.busy || self.shields() || self.assignment.expires_at.is_some()
+    /// Returns when the grant of an unreachable owner, from which the keys are being revoked, has
+    /// expired for sure; `None` if that is recorded already or not worth a record.
+    pub fn recordable_expiry(&self, now: Instant) -> Option<Instant> {
+        let is_unreachable =
+            self.revocation.is_some() && self.unanswered_count >= UNANSWERED_BEFORE_EXPIRY;
+        if !is_unreachable
+            || self.is_free
+            || self.in_flight
+            || self.has_unaccepted_fence()
+            || self.assignment.expires_at.is_some()
         {
             return None;
         }
-        let end = self.until.max(self.late)?;
-        (end > now + WORTH_RECORD).then_some(end)
+        let expiry = self.granted_until.max(self.late_until)?;
+        (expiry > now + MIN_REMAINING_TO_RECORD).then_some(expiry)
     }
 
-    /// Frees keys that are to leave once no grant can be in force any more.
-    pub fn expire(&mut self, now: Instant) {
-        if self.late.is_some_and(|late| late <= now) {
-            self.late = None;
+    /// Frees keys that are being revoked once no grant of them can be in force any more.
+    pub fn expire_grants(&mut self, now: Instant) {
+        if self.late_until.is_some_and(|until| until <= now) {
+            self.late_until = None;
         }
-        let over = self.until.is_none_or(|until| until <= now) && self.late.is_none();
-        if self.leave.is_some() && over && !self.busy {
-            self.set_free(None);
+        let is_expired =
+            self.granted_until.is_none_or(|until| until <= now) && self.late_until.is_none();
+        if self.revocation.is_some() && is_expired && !self.in_flight {
+            self.mark_free(None);
         }
     }
 
-    pub fn done(
+    pub fn handle_outcome(
         &mut self,
-        order: &Command,
-        done: &CommandOutcome,
+        command: &Command,
+        outcome: &CommandOutcome,
         timing: &CommandTiming,
-        span: (Instant, Instant),
+        times: (Instant, Instant),
     ) {
-        let (sent, now) = span;
-        self.busy = false;
-        self.silent = match done {
-            CommandOutcome::Unsent | CommandOutcome::Unknown => self.silent + 1,
+        let (sent, now) = times;
+        self.in_flight = false;
+        self.unanswered_count = match outcome {
+            CommandOutcome::Unsent | CommandOutcome::Unknown => self.unanswered_count + 1,
             _ => 0,
         };
-        if self.silent >= GIVEN_UP {
-            self.leave(None, now);
+        if self.unanswered_count >= MAX_UNANSWERED {
+            self.start_revocation(None, now);
         }
-        match (order, done) {
+        match (command, outcome) {
             (Command::Grant { ttl, .. }, CommandOutcome::Accepted) => {
-                let end = now + ttl.mul_f64(CLOCK_MARGIN);
-                self.until = self.until.max(Some(end));
-                if self.assignment.fence > self.lost {
-                    self.late = None;
+                let expiry = now + ttl.mul_f64(CLOCK_MARGIN);
+                self.granted_until = self.granted_until.max(Some(expiry));
+                if self.assignment.fence > self.late_fence {
+                    self.late_until = None;
                 }
-                if self.leave.is_none() {
+                if self.revocation.is_none() {
                     self.handover = None;
                 }
-                self.next = match self.leave {
+                self.command_due = match self.revocation {
                     Some(_) => now,
                     None => sent + timing.renewal_interval,
                 };
             }
             (Command::Grant { ttl, .. }, CommandOutcome::Unknown) => {
-                let end = now + timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN);
-                self.until = self.until.max(Some(end));
-                self.late = self.late.max(Some(end));
-                self.lost = self.lost.max(self.assignment.fence);
-                self.next = now;
+                let expiry = now + timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN);
+                self.granted_until = self.granted_until.max(Some(expiry));
+                self.late_until = self.late_until.max(Some(expiry));
+                self.late_fence = self.late_fence.max(self.assignment.fence);
+                self.command_due = now;
             }
             (Command::Grant { .. }, CommandOutcome::StaleFence) => {
-                self.refence = true;
-                self.next = now;
+                self.needs_fence = true;
+                self.command_due = now;
             }
-            (Command::Release { .. }, CommandOutcome::Released(handover)) => match self.late {
-                None => self.set_free(handover.clone()),
-                Some(_) => {
-                    self.handover.clone_from(handover);
-                    self.refence = true;
-                    self.next = now;
+            (Command::Release { .. }, CommandOutcome::Released(handover)) => {
+                match self.late_until {
+                    None => self.mark_free(handover.clone()),
+                    Some(_) => {
+                        self.handover.clone_from(handover);
+                        self.needs_fence = true;
+                        self.command_due = now;
+                    }
                 }
-            },
-            (_, CommandOutcome::TargetEnded) => self.end(now),
+            }
+            (_, CommandOutcome::TargetEnded) => self.mark_owner_ended(now),
             _ => {
-                let doublings = self.silent.saturating_sub(1).min(MOST_DOUBLINGS);
-                self.next = now + timing.retry_delay * (1 << doublings);
+                let doublings = self
+                    .unanswered_count
+                    .saturating_sub(1)
+                    .min(MAX_RETRY_DOUBLINGS);
+                self.command_due = now + timing.retry_delay * (1 << doublings);
             }
         }
     }
