--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -40,8 +40,8 @@
 }
 
 impl CommandTiming {
-    /// Returns the timing for a service of that many assignments: above a threshold renewals are less
-    /// frequent, and TTLs last more than two renewal intervals as far as `max_ttl` allows.
+    /// Returns the timing for a service of that many assignments: above a threshold, renewals are
+    /// less frequent and TTLs last more than two renewal intervals, as far as `max_ttl` allows.
     fn scale_to(&self, assignment_count: usize) -> Self {
         if assignment_count <= LARGE_ASSIGNMENT_COUNT {
             return *self;
@@ -138,10 +138,10 @@
 }
 
 impl StoreTimeBound {
-    /// Returns the latest time that the store's clock can show at a local time, rounded up to whole
-    /// milliseconds, the unit of the stored rows.
-    fn latest_at(&self, local: Instant) -> Duration {
-        let time = self.latest + local.saturating_duration_since(self.local);
+    /// Returns the latest time that the store's clock can show at a local `moment`, rounded up to
+    /// whole milliseconds, the unit of the stored rows.
+    fn latest_at(&self, moment: Instant) -> Duration {
+        let time = self.latest + moment.saturating_duration_since(self.local);
         Duration::from_millis(time.as_millis() as u64 + 1)
     }
 }
@@ -172,8 +172,8 @@
 }
 
 impl AssignmentManager {
-    /// Starts from the recorded owners. Grants of earlier leaders count as in force until their known
-    /// expiry, or else for the longest time that a grant can last.
+    /// Starts from the recorded owners. Grants of earlier leaders count as in force until their
+    /// known expiry, or else for the longest time that a grant can last.
     pub fn new(
         table: &AssignmentTable,
         timing: CommandTiming,
@@ -190,10 +190,10 @@
                 .time_until(assignment.expires_at)
                 .unwrap_or(longest)
                 .min(longest);
-            let granted_until = assignment.owner.as_ref().map(|_| now + remaining);
+            let grant_end = assignment.owner.as_ref().map(|_| now + remaining);
             AssignmentState {
-                granted_until,
-                late_until: granted_until,
+                grant_end,
+                late_end: grant_end,
                 late_fence: assignment.fence,
                 // A recorded expiry is valid only if no further grant is sent with that fence.
                 revocation: assignment.expires_at.map(|_| None),
@@ -222,14 +222,14 @@
 
     /// Returns the time after which no grant is in force, if no further one is sent.
     pub fn remaining_grant_time(&self, now: Instant) -> Duration {
-        let grant_end = |state: &AssignmentState| {
-            let known = state.granted_until.max(state.late_until);
+        let last_end = |state: &AssignmentState| {
+            let known = state.grant_end.max(state.late_end);
             let sent = state.sent_ttl.filter(|_| state.in_flight);
             let latest =
                 sent.map(|ttl| now + self.timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN));
             known.max(latest)
         };
-        let last = self.states.iter().filter_map(grant_end).max();
+        let last = self.states.iter().filter_map(last_end).max();
         last.map_or(Duration::ZERO, |last| last.saturating_duration_since(now))
     }
 
@@ -393,10 +393,10 @@
         for (index, state) in self.states.iter().enumerate() {
             if state.is_free {
                 let wanted = state.revocation.as_ref().and_then(|target| target.as_ref());
-                let Some(owner) = choose_owner(&state.assignment, wanted) else {
+                let Some(chosen) = choose_owner(&state.assignment, wanted) else {
                     continue;
                 };
-                table.assignments[index].owner = Some(owner);
+                table.assignments[index].owner = Some(chosen);
             } else if !state.needs_fence || state.in_flight {
                 let expiry = store_time
                     .and_then(|it| Some(it.latest_at(state.recordable_expiry(it.local)?)));
@@ -474,8 +474,8 @@
             let are_idle = state.is_idle() && next.is_idle();
             if is_match && are_idle {
                 state.assignment.last = next.assignment.last;
-                state.granted_until = state.granted_until.max(next.granted_until);
-                state.late_until = state.late_until.max(next.late_until);
+                state.grant_end = state.grant_end.max(next.grant_end);
+                state.late_end = state.late_end.max(next.late_end);
                 state.late_fence = state.late_fence.max(next.late_fence);
                 state.command_due = state.command_due.min(next.command_due);
             }
--- a/crates/decide/src/owners/mod.rs
+++ b/crates/decide/src/owners/mod.rs
@@ -1,4 +1,5 @@
-//! Ownership of the keys of one divided service: who owns which, and in what order it changes.
+//! Ownership of the keys of one sharded service: recorded assignments, the leader's commands to
+//! owners, and the rebalancing of load.
 
 mod manager;
 mod rebalance;
--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -1,4 +1,4 @@
-//! Which target should own which keys, by the load that the keys bring.
+//! Rebalancing: chooses the keys to move between targets, by the load of the keys.
 
 use {
     super::table::{Assignment, AssignmentTable},
@@ -10,42 +10,42 @@
     tokio::time::Instant,
 };
 
-/// Time in which the weight of a request falls to a third.
+/// Time constant of the exponential decay: a request's weight falls to about a third in it.
 const DECAY_TIME: Duration = Duration::from_secs(3);
-/// Load of a key that got no request, in requests; it spreads keys before any traffic is seen.
+/// Base load of each key, in requests; it spreads keys over targets before there is any traffic.
 const IDLE_KEY_LOAD: f64 = 0.0005;
-/// Ratio of the highest to the mean load from which keys are moved.
+/// Ratio of a target's load to the mean load from which keys are moved.
 const MIN_IMBALANCE: f64 = 1.25;
-/// Smallest share of the mean load that is worth a move.
+/// Smallest part of the mean load that is worth a transfer.
 const MIN_MOVED_SHARE: f64 = 0.08;
-/// Multiple of a load's standard deviation that a difference must exceed to be one.
+/// Standard deviations by which a load must exceed the mean, so that chance alone moves no keys.
 const MIN_DEVIATIONS: f64 = 1.2;
-/// Pieces for each target from which only a whole piece is moved.
+/// Assignments for each target from which on none is split.
 const MAX_ASSIGNMENTS_PER_TARGET: usize = 6;
-/// The same of a large service, each of whose pieces costs the leader a renewal: so many, and so
-/// many for each target.
+/// The same limit for a large service, as a base and a number for each target: each assignment
+/// costs the leader a renewal.
 const LARGE_SERVICE_ASSIGNMENTS: (usize, usize) = (200, 2);
-/// Weight below which a key is forgotten, in requests.
+/// Weight in requests at or below which a key's entry is removed.
 const MIN_TRACKED_WEIGHT: f64 = 0.02;
 
-/// Requests of late by key, older ones counting less.
+/// Exponentially decaying count of requests by key.
 #[derive(Debug, Default)]
 pub struct KeyLoads {
     weights: BTreeMap<u16, f64>,
     decayed_at: Option<Instant>,
 }
 
-/// Work that a target can do, in relation to others; above 0.
+/// Capacity of each target in relation to the others; above 0.
 pub type TargetCapacities = BTreeMap<Name, f64>;
 
-/// Keys that should go to another target.
+/// A range of keys to move to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
     /// First key.
     pub first: u16,
-    /// Last key, included.
+    /// Last key, inclusive.
     pub last: u16,
-    /// New owner.
+    /// Target that gets the keys.
     pub new_owner: Name,
 }
 
@@ -55,7 +55,7 @@
         *self.weights.entry(key).or_default() += requests;
     }
 
-    /// Lets the weight of former requests fall.
+    /// Reduces the weight of earlier requests by the time since the last call.
     pub fn decay(&mut self, now: Instant) {
         let before = self.decayed_at.replace(now).unwrap_or(now);
         let passed = now.duration_since(before).as_secs_f64();
@@ -66,7 +66,7 @@
         });
     }
 
-    /// Returns the load of keys.
+    /// Returns the load of a range of keys, `last` included.
     pub fn range_load(&self, first: u16, last: u16) -> f64 {
         let counted: f64 = self
             .weights
@@ -77,7 +77,7 @@
         counted + IDLE_KEY_LOAD * f64::from(count)
     }
 
-    /// Returns the first key of the upper half of a piece of two keys or more, by load.
+    /// Returns the first key of the upper half by load of an assignment of at least two keys.
     fn find_middle(&self, assignment: &Assignment) -> u16 {
         let half = self.range_load(assignment.first, assignment.last) / 2.0;
         let (mut low, mut high) = (assignment.first + 1, assignment.last);
@@ -91,7 +91,7 @@
         low
     }
 
-    /// Returns the keys of the heaviest range within a piece whose load is at most `most`.
+    /// Returns the range within an assignment that has the highest counted load up to `max_load`.
     fn find_heaviest(&self, assignment: &Assignment, max_load: f64) -> Option<(u16, u16, f64)> {
         let entries: Vec<(u16, f64)> = self
             .weights
@@ -114,16 +114,17 @@
     }
 }
 
-/// Targets in the order of their loads for their capacities.
+/// Targets ordered by the ratio of load to capacity.
 #[derive(Debug)]
 pub struct TargetsByLoad {
     loads: BTreeMap<Name, (f64, f64)>,
-    /// Bits of a ratio, which is not negative, are in the order of the ratio.
+    /// Bits of the ratios: those of floats that are not negative sort like the floats.
     order: BTreeSet<(u64, Name)>,
 }
 
 impl TargetsByLoad {
-    /// Takes targets with their capacities, and the loads of targets.
+    /// Creates the order from `targets` with their capacities; one without an entry in
+    /// `target_loads` has no load.
     pub fn new<'a>(
         targets: impl Iterator<Item = (&'a Name, &'a f64)>,
         target_loads: &BTreeMap<Name, f64>,
@@ -138,12 +139,12 @@
         Self { loads, order }
     }
 
-    /// Returns the one with the least load.
+    /// Returns the target with the lowest ratio, or `None` if there is no target.
     pub fn least_loaded(&self) -> Option<&Name> {
         self.order.first().map(|(_, name)| name)
     }
 
-    /// Adds to the load of a target.
+    /// Adds to the load of a target; does nothing for an unknown one.
     pub fn add_load(&mut self, name: &Name, load: f64) {
         if let Some(known) = self.loads.get_mut(name) {
             self.order.remove(&(ratio_bits(*known), name.clone()));
@@ -157,10 +158,10 @@
     (load / capacity).to_bits()
 }
 
-/// Returns at most `count` transfers that make the loads more even.
+/// Returns at most `max_transfers` transfers that even out the loads.
 ///
-/// Targets without a key get some first, whatever the load. Pieces for which `fixed` is true stay
-/// where they are.
+/// Targets without keys get some first, whatever the load. Assignments for which `is_fixed` returns
+/// true are not moved.
 pub fn rebalance(
     table: &AssignmentTable,
     loads: &KeyLoads,
@@ -201,7 +202,7 @@
     rebalancer.transfers
 }
 
-/// Loads while transfers are being chosen.
+/// Transfers chosen so far, and the loads that result from them.
 struct Rebalancer<'a> {
     assignments: Vec<Assignment>,
     loads: &'a KeyLoads,
@@ -211,19 +212,19 @@
 }
 
 impl Rebalancer<'_> {
-    /// Returns the load of a target for its capacity.
+    /// Returns a target's ratio of load to capacity.
     fn load_ratio(&self, name: &Name) -> f64 {
         self.target_loads.get(name).copied().unwrap_or(0.0) / self.capacities[name]
     }
 
-    /// Returns the targets, the most loaded first.
+    /// Returns the targets in descending order of their load ratios.
     fn targets_by_load(&self) -> Vec<Name> {
         let mut names: Vec<Name> = self.capacities.keys().cloned().collect();
         names.sort_by(|a, b| self.load_ratio(b).total_cmp(&self.load_ratio(a)));
         names
     }
 
-    /// Returns the pieces of a target that have not moved.
+    /// Returns the assignments of a target of which no part is in a transfer.
     fn movable_assignments<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Assignment> {
         self.assignments.iter().filter(move |assignment| {
             let is_owned = assignment.owner.as_ref().is_some_and(|it| it.id == *owner);
@@ -231,7 +232,7 @@
         })
     }
 
-    /// Returns whether no part of a piece has moved.
+    /// Returns whether no transfer begins within an assignment.
     fn is_movable(&self, assignment: &Assignment) -> bool {
         !self
             .transfers
@@ -239,8 +240,8 @@
             .any(|it| assignment.contains_key(it.first))
     }
 
-    /// Gives a target without a key a half of the busiest piece of the most loaded target that has
-    /// one that can be cut.
+    /// Moves half of an assignment to a target without keys: of the busiest assignment that can be
+    /// split, at the most loaded target that has one.
     fn fill_empty_target(&mut self, empty: &Name) {
         let movable = self
             .assignments
@@ -264,11 +265,11 @@
         }
     }
 
-    /// Takes keys away from the most loaded target from which some can be moved; returns whether
-    /// there is one.
+    /// Moves keys from the most loaded target that has suitable ones to the least loaded target;
+    /// returns whether there was such a target.
     ///
-    /// A target that is left above the others, with a single hot key for example, does not count
-    /// for what is even among them.
+    /// A target that has to stay overloaded, such as one with a single hot key, is left out of the
+    /// mean to which the others are compared.
     fn move_from_most_loaded(&mut self) -> bool {
         let targets = self.targets_by_load();
         let Some(least_loaded) = targets.last() else {
@@ -291,7 +292,7 @@
         false
     }
 
-    /// Returns the keys of one target that are best moved to another.
+    /// Returns the keys of the most loaded target to move to the least loaded one.
     fn choose_keys(
         &self,
         most_loaded: &Name,
@@ -300,12 +301,12 @@
     ) -> Option<(u16, u16)> {
         let (high, low) = (self.load_ratio(most_loaded), self.load_ratio(least_loaded));
         let surplus = (high - mean) * self.capacities[most_loaded];
-        // The number of requests in a while varies by its square root.
+        // The standard deviation of a number of requests is its square root.
         if surplus < MIN_DEVIATIONS * (high * self.capacities[most_loaded]).sqrt() {
             return None;
         }
         let headroom = (mean - low) * self.capacities[least_loaded];
-        // Half of the difference at most, so that the receiver doesn't become the fullest.
+        // At most half of the difference, so that the receiver does not become the most loaded.
         let wanted = surplus
             .min(headroom)
             .max((high - low) * self.capacities[least_loaded] * 0.4);
@@ -334,13 +335,14 @@
     }
 }
 
-/// Returns how many pieces the keys of a service with so many targets may have.
+/// Returns the number of assignments up to which those of a service are split.
 fn max_assignments(targets: usize) -> usize {
     let (base, per_target) = LARGE_SERVICE_ASSIGNMENTS;
     (MAX_ASSIGNMENTS_PER_TARGET * targets).min(base + per_target * targets)
 }
 
-/// Returns the part of a piece that fits best into `wanted`: the whole, an end, or a range within.
+/// Returns the whole of an assignment if its load fits into `wanted`, or else, if it may be split,
+/// the range within it whose load comes closest.
 fn choose_part(
     assignment: &Assignment,
     loads: &KeyLoads,
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -10,8 +10,8 @@
     tokio::time::Instant,
 };
 
-/// Factor by which the leader lengthens a grant's TTL, as a target's clock may run 2% slow and so
-/// end the grant later.
+/// Factor by which the leader lengthens a grant's TTL: a target's clock may run up to 2% slow, so
+/// that the grant ends later; 3% are added.
 pub(super) const CLOCK_MARGIN: f64 = 1.03;
 
 /// Consecutive commands without an answer after which keys are revoked from their owner.
@@ -33,10 +33,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct AssignmentState {
     pub assignment: Assignment,
-    /// Latest time until which the owner may serve the keys; `None` if they never had an owner.
-    pub granted_until: Option<Instant>,
-    /// Time until which a late grant, one without an answer, may still be in force.
-    pub late_until: Option<Instant>,
+    /// Latest time at which the owner's grant expires; `None` if the keys never had an owner.
+    pub grant_end: Option<Instant>,
+    /// Latest time at which a late grant, one without an answer, expires.
+    pub late_end: Option<Instant>,
     /// Highest fence of a late grant.
     pub late_fence: Fence,
     /// Time of the next command.
@@ -61,8 +61,8 @@
     pub fn new(assignment: Assignment, now: Instant) -> Self {
         Self {
             assignment,
-            granted_until: None,
-            late_until: None,
+            grant_end: None,
+            late_end: None,
             late_fence: Fence(0),
             command_due: now,
             in_flight: false,
@@ -131,7 +131,7 @@
 
     /// Returns whether the owner has yet to accept the fence that makes it refuse late grants.
     pub fn has_unaccepted_fence(&self) -> bool {
-        self.late_until.is_some() && self.assignment.fence > self.late_fence
+        self.late_end.is_some() && self.assignment.fence > self.late_fence
     }
 
     /// Returns when the grant of an unreachable owner, from which the keys are being revoked, has
@@ -147,17 +147,16 @@
         {
             return None;
         }
-        let expiry = self.granted_until.max(self.late_until)?;
+        let expiry = self.grant_end.max(self.late_end)?;
         (expiry > now + MIN_REMAINING_TO_RECORD).then_some(expiry)
     }
 
     /// Frees keys that are being revoked once no grant of them can be in force any more.
     pub fn expire_grants(&mut self, now: Instant) {
-        if self.late_until.is_some_and(|until| until <= now) {
-            self.late_until = None;
+        if self.late_end.is_some_and(|late| late <= now) {
+            self.late_end = None;
         }
-        let is_expired =
-            self.granted_until.is_none_or(|until| until <= now) && self.late_until.is_none();
+        let is_expired = self.grant_end.is_none_or(|until| until <= now) && self.late_end.is_none();
         if self.revocation.is_some() && is_expired && !self.in_flight {
             self.mark_free(None);
         }
@@ -182,9 +181,9 @@
         match (command, outcome) {
             (Command::Grant { ttl, .. }, CommandOutcome::Accepted) => {
                 let expiry = now + ttl.mul_f64(CLOCK_MARGIN);
-                self.granted_until = self.granted_until.max(Some(expiry));
+                self.grant_end = self.grant_end.max(Some(expiry));
                 if self.assignment.fence > self.late_fence {
-                    self.late_until = None;
+                    self.late_end = None;
                 }
                 if self.revocation.is_none() {
                     self.handover = None;
@@ -196,8 +195,8 @@
             }
             (Command::Grant { ttl, .. }, CommandOutcome::Unknown) => {
                 let expiry = now + timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN);
-                self.granted_until = self.granted_until.max(Some(expiry));
-                self.late_until = self.late_until.max(Some(expiry));
+                self.grant_end = self.grant_end.max(Some(expiry));
+                self.late_end = self.late_end.max(Some(expiry));
                 self.late_fence = self.late_fence.max(self.assignment.fence);
                 self.command_due = now;
             }
@@ -205,16 +204,14 @@
                 self.needs_fence = true;
                 self.command_due = now;
             }
-            (Command::Release { .. }, CommandOutcome::Released(handover)) => {
-                match self.late_until {
-                    None => self.mark_free(handover.clone()),
-                    Some(_) => {
-                        self.handover.clone_from(handover);
-                        self.needs_fence = true;
-                        self.command_due = now;
-                    }
+            (Command::Release { .. }, CommandOutcome::Released(handover)) => match self.late_end {
+                None => self.mark_free(handover.clone()),
+                Some(_) => {
+                    self.handover.clone_from(handover);
+                    self.needs_fence = true;
+                    self.command_due = now;
                 }
-            }
+            },
             (_, CommandOutcome::TargetEnded) => self.mark_owner_ended(now),
             _ => {
                 let doublings = self
--- a/crates/decide/src/owners/table.rs
+++ b/crates/decide/src/owners/table.rs
@@ -1,41 +1,41 @@
-//! The recorded owners of all keys.
+//! Assignments of keys to owners, as they are recorded.
 
 use {
     crate::names::{Fence, Name},
     std::time::Duration,
 };
 
-/// One run of a target.
+/// One run of a target's process under its id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TargetIncarnation {
-    /// Id; a target may start again under the id that it had.
+    /// Id of the target, which may start again under the same id.
     pub id: Name,
-    /// Time of its start in milliseconds since 1970.
+    /// Time of the start in milliseconds since 1970.
     pub incarnation: u64,
 }
 
-/// A range of keys with its owner.
+/// A range of contiguous keys with its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// First key.
     pub first: u16,
-    /// Last key, included.
+    /// Last key, inclusive.
     pub last: u16,
-    /// Owner; `None` if the keys never had one.
+    /// Target that owns the keys; `None` if they never had an owner.
     pub owner: Option<TargetIncarnation>,
-    /// Fence of the owner.
+    /// Number that rises with each change of the owner; targets refuse grants with a lower one.
     pub fence: Fence,
-    /// Time of the store's clock after which the owner does not hold the keys, if it gets no grant
-    /// with this fence any more.
+    /// Time of the store's clock at which the owner's last grant has expired, if no further grant is
+    /// sent with this fence; `None` if it is not recorded.
     pub expires_at: Option<Duration>,
 }
 
-/// Owners of all keys of a service.
+/// All assignments of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignmentTable {
-    /// Pieces in the order of their keys, without gaps.
+    /// Assignments in the order of their keys, without gaps.
     pub assignments: Vec<Assignment>,
-    /// Highest fence that was given out.
+    /// Highest fence assigned so far.
     pub highest_fence: Fence,
 }
 
@@ -56,43 +56,43 @@
 }
 
 impl Assignment {
-    /// Returns how many keys it has.
+    /// Returns the number of keys.
     pub fn len(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
 
-    /// Returns whether it has no key, which never is the case in a table.
+    /// Returns whether the range has no key, which is never the case in a complete table.
     pub fn is_empty(&self) -> bool {
         self.last < self.first
     }
 
-    /// Returns whether the key is one of its keys.
+    /// Returns whether a key lies in the range.
     pub fn contains_key(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
 }
 
 impl AssignmentTable {
-    /// Returns the piece of a key.
+    /// Returns the assignment that contains a key.
     pub fn assignment(&self, key: u16) -> &Assignment {
-        &self.assignments[self.place(key)]
+        &self.assignments[self.find_index(key)]
     }
 
-    /// Returns the next fence.
+    /// Raises the highest fence by one and returns it.
     pub fn advance_fence(&mut self) -> Fence {
         self.highest_fence = self.highest_fence.next();
         self.highest_fence
     }
 
-    /// Cuts pieces so that one begins at `first` and one ends at `last`.
+    /// Splits assignments so that one begins at `first` and one ends at `last`.
     pub fn split_around(&mut self, first: u16, last: u16) {
-        self.cut_before(first);
+        self.split_before(first);
         if let Some(next) = last.checked_add(1) {
-            self.cut_before(next);
+            self.split_before(next);
         }
     }
 
-    /// Returns the pieces whose owner or fence is not that of an earlier table.
+    /// Returns the assignments whose owner or fence differs from an earlier table.
     pub fn changes_since(&self, earlier: &Self) -> Vec<Assignment> {
         let changed = |assignment: &&Assignment| {
             let before = earlier.assignment(assignment.first);
@@ -101,12 +101,12 @@
         self.assignments.iter().filter(changed).cloned().collect()
     }
 
-    /// Puts pieces of a later table in the place of its own.
+    /// Replaces the owners and fences of the given keys by those of a later table.
     pub fn apply_changes(&mut self, changes: &[Assignment]) {
         for change in changes {
             self.split_around(change.first, change.last);
-            let inside = |assignment: &&mut Assignment| change.contains_key(assignment.first);
-            for assignment in self.assignments.iter_mut().filter(inside) {
+            let is_inside = |assignment: &&mut Assignment| change.contains_key(assignment.first);
+            for assignment in self.assignments.iter_mut().filter(is_inside) {
                 assignment.owner.clone_from(&change.owner);
                 assignment.fence = change.fence;
             }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Checks that the pieces are in order and without gaps.
+    /// Returns whether the assignments contain all keys in order, without gaps or overlaps.
     pub fn is_complete(&self) -> bool {
         let mut next = Some(0u16);
         for assignment in &self.assignments {
@@ -126,18 +126,18 @@
         next.is_none() && !self.assignments.is_empty()
     }
 
-    fn cut_before(&mut self, key: u16) {
-        let at = self.place(key);
-        if self.assignments[at].first == key {
+    fn split_before(&mut self, key: u16) {
+        let index = self.find_index(key);
+        if self.assignments[index].first == key {
             return;
         }
-        let mut tail = self.assignments[at].clone();
+        let mut tail = self.assignments[index].clone();
         tail.first = key;
-        self.assignments[at].last = key - 1;
-        self.assignments.insert(at + 1, tail);
+        self.assignments[index].last = key - 1;
+        self.assignments.insert(index + 1, tail);
     }
 
-    fn place(&self, key: u16) -> usize {
+    fn find_index(&self, key: u16) -> usize {
         let after = self
             .assignments
             .partition_point(|assignment| assignment.first <= key);
