--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -10,7 +10,7 @@
 /// Returns the present moment by the runtime's clock and by the one that counts suspensions.
 ///
 /// Where the system has no such clock, suspensions are not noticed.
-pub fn moment() -> LocalTime {
+pub fn local_time() -> LocalTime {
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
         .map_or(Duration::ZERO, Duration::from);
--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock,
-        events::{About, Code, Events, Origin, logger},
+        events::{EventCode, EventFields, EventLog, Origin, logger},
         lead::keep::{LeaderState, Reports},
         metrics::Metrics,
         peers::{datagram::Port, membership::Membership},
@@ -34,47 +34,47 @@
 };
 
 /// Lease of the leader.
-pub const TERM: Duration = Duration::from_millis(2500);
+pub const LEASE_TTL: Duration = Duration::from_millis(2500);
 /// Time without a heartbeat after which the leader counts as unheard.
-pub const SILENCE: Duration = Duration::from_millis(1100);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1100);
 /// Instances that are assumed until the leader tells their number; a high one makes shares small.
-const UNKNOWN_INSTANCES: u32 = 100;
-/// Events that are kept for operators.
-const EVENTS: usize = 512;
+const ASSUMED_INSTANCES: u32 = 100;
+/// EventLog that are kept for operators.
+const EVENT_CAPACITY: usize = 512;
 
 /// Owners of a service's keys as they were recorded.
 #[derive(Clone, Debug)]
-pub struct Owners {
+pub struct RecordedAssignments {
     /// Version of the row.
     pub version: u64,
     /// Owners.
     pub table: Rc<AssignmentTable>,
     /// What the leader changed last, if this instance is the leader.
-    pub change: Option<Change>,
+    pub last_change: Option<AssignmentChange>,
 }
 
 /// Difference between two versions of the recorded owners.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct AssignmentChange {
     /// Version before it.
-    pub base: u64,
+    pub base_version: u64,
     /// Pieces that are new.
-    pub pieces: Vec<Assignment>,
+    pub assignments: Vec<Assignment>,
     /// Time of the record.
-    pub at: Instant,
+    pub recorded_at: Instant,
 }
 
 /// Where the latest known run of a target was last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct TargetAddress {
     /// Start of the run.
-    pub born: u64,
+    pub incarnation: u64,
     /// Its address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// Keys of requests since the last report, by service.
-pub type Sample = BTreeMap<Name, BTreeMap<u16, u32>>;
+pub type KeyCounts = BTreeMap<Name, BTreeMap<u16, u32>>;
 
 /// What the tasks of an instance share.
 pub struct Context {
@@ -83,31 +83,31 @@
     /// Bounds, which a reload replaces.
     pub bounds: RefCell<Bounds>,
     /// Run of this instance; rows that it wrote bear it.
-    pub run: String,
+    pub run_id: String,
     /// Events.
-    pub events: Events,
+    pub events: EventLog,
     /// Metrics.
     pub metrics: Metrics,
     /// Store for reads that wait for changes.
-    pub feed: Store,
+    pub watch_store: Store,
     /// Store for reads of targets.
-    pub lists: Store,
+    pub target_store: Store,
     /// Store for reads and writes of the project's own rows.
-    pub rows: Store,
+    pub router_store: Store,
     /// Whether the store answered last.
-    pub able: Cell<bool>,
+    pub store_reachable: Cell<bool>,
     /// Told when the store answers again.
-    pub store_back: Notify,
+    pub store_recovered: Notify,
     /// Lets one write of the project's own rows after another.
-    pub writing: Mutex<()>,
+    pub write_lock: Mutex<()>,
     /// Last time the store told whether the configuration has changed.
-    pub config_read: Cell<Option<Instant>>,
+    pub config_confirmed: Cell<Option<Instant>>,
     /// Version of the operators' last change that this instance knows.
-    pub config_change: Cell<u64>,
+    pub operator_version: Cell<u64>,
     /// Version of the operators' last change that others told.
-    config_told: Cell<u64>,
+    reported_version: Cell<u64>,
     /// Told when others know a change of the operators' that this instance does not.
-    pub behind: Notify,
+    pub config_stale: Notify,
     /// Configuration in force.
     pub config: RefCell<Option<Rc<Config>>>,
     /// Routes in force.
@@ -115,62 +115,62 @@
     /// Targets as this instance sees them.
     pub targets: RefCell<Rc<Targets>>,
     /// Where targets were last: one whose report has lapsed may still hold keys.
-    pub addresses: RefCell<BTreeMap<Name, Place>>,
+    pub target_addresses: RefCell<BTreeMap<Name, TargetAddress>>,
     /// The last change of the targets that this instance has read.
-    pub news: RefCell<News>,
+    pub target_updates: RefCell<News>,
     /// Told when changes of the targets were missed.
-    pub missed: Notify,
+    pub updates_missed: Notify,
     /// Withdrawn data centres and since when this instance knows it.
     pub withdrawn: RefCell<BTreeMap<Name, Instant>>,
     /// Owners of keys by service.
-    pub owners: RefCell<BTreeMap<Name, Owners>>,
+    pub owners: RefCell<BTreeMap<Name, RecordedAssignments>>,
     /// How often owners that were missed were asked for in vain, and when last.
-    pub asked: Cell<(u32, Option<Instant>)>,
+    pub owner_requests: Cell<(u32, Option<Instant>)>,
     /// Keys whose owner refused a request of late.
-    pub blocks: RefCell<Blocks>,
+    pub blocked_keys: RefCell<Blocks>,
     /// Connections and load by target.
-    pub lines: RefCell<BTreeMap<Name, Rc<Line>>>,
+    pub connections: RefCell<BTreeMap<Name, Rc<Line>>>,
     /// Retries by service.
-    pub shares: RefCell<BTreeMap<Name, RetryWindow>>,
+    pub retry_windows: RefCell<BTreeMap<Name, RetryWindow>>,
     /// Distribution of each route's requests by weight.
-    pub dealers: RefCell<BTreeMap<Name, TrafficSplitter>>,
+    pub splitters: RefCell<BTreeMap<Name, TrafficSplitter>>,
     /// Leadership.
-    pub lead: RefCell<LeaderElection>,
+    pub election: RefCell<LeaderElection>,
     /// What this instance knows as leader.
     pub leader_state: Rc<RefCell<LeaderState>>,
     /// Version of the leader's row as it was read last, and the time of the store's clock after
     /// which none of its holder's grants is in force, if it tells.
-    pub former: Cell<Option<(u64, Option<Duration>)>>,
+    pub observed_row: Cell<Option<(u64, Option<Duration>)>>,
     /// The same time, if this instance took the row over from that version.
-    pub granted: Cell<Option<Duration>>,
+    pub grants_expire: Cell<Option<Duration>>,
     /// Port for datagrams of other instances.
-    pub port: Port,
+    pub peer_socket: Port,
     /// Address of the leader.
-    pub leader: Cell<Option<SocketAddr>>,
+    pub leader_address: Cell<Option<SocketAddr>>,
     /// Time of the leader's last heartbeat.
-    pub heard: Cell<Option<Instant>>,
+    pub last_heartbeat: Cell<Option<Instant>>,
     /// Instances that the leader hears of.
-    pub instances: Cell<u32>,
+    pub instance_count: Cell<u32>,
     /// Instances that the leader hears of, with their addresses.
     pub membership: RefCell<Membership>,
     /// Permits that this instance gives and asks for.
     pub permits: Permits,
     /// Since when this instance is the leader.
-    pub leading: Cell<Option<Instant>>,
+    pub leader_since: Cell<Option<Instant>>,
     /// Keys of requests since the last report.
-    pub sample: RefCell<Sample>,
+    pub key_counts: RefCell<KeyCounts>,
     /// What other instances report; of use to the leader.
-    pub reports: RefCell<Reports>,
+    pub peer_reports: RefCell<Reports>,
     /// Told when targets, owners or withdrawals change.
-    pub changed: Notify,
+    pub routing_changed: Notify,
     /// Told when the recorded owners have to be read.
-    pub refresh: Notify,
+    pub refresh_requested: Notify,
     /// Told when the leader has something to do.
-    pub work: Notify,
+    pub leader_work: Notify,
     /// Time of the stop signal.
-    pub stopping: Cell<Option<Instant>>,
+    pub stopping_since: Cell<Option<Instant>>,
     /// Requests in progress.
-    pub active: Cell<u32>,
+    pub active_requests: Cell<u32>,
 }
 
 impl Context {
@@ -188,65 +188,65 @@
         let logger = logger::stdout(spdlog::Level::Debug)?;
         Ok(Self {
             bounds: RefCell::new(settings.bounds.clone()),
-            run: format!("{}-{:x}", settings.name, rand::random::<u64>()),
-            events: Events::new(origin, EVENTS, Some(logger)),
+            run_id: format!("{}-{:x}", settings.name, rand::random::<u64>()),
+            events: EventLog::new(origin, EVENT_CAPACITY, Some(logger)),
             metrics: Metrics::default(),
-            feed: Store::new(settings.store),
-            lists: Store::new(settings.store),
-            rows: Store::new(settings.store),
-            able: Cell::new(false),
-            store_back: Notify::new(),
-            writing: Mutex::new(()),
-            config_read: Cell::new(None),
-            config_change: Cell::new(0),
-            config_told: Cell::new(0),
-            behind: Notify::new(),
+            watch_store: Store::new(settings.store),
+            target_store: Store::new(settings.store),
+            router_store: Store::new(settings.store),
+            store_reachable: Cell::new(false),
+            store_recovered: Notify::new(),
+            write_lock: Mutex::new(()),
+            config_confirmed: Cell::new(None),
+            operator_version: Cell::new(0),
+            reported_version: Cell::new(0),
+            config_stale: Notify::new(),
             config: RefCell::default(),
             routes: RefCell::default(),
             targets: RefCell::new(Rc::new(Targets::empty())),
-            addresses: RefCell::default(),
-            news: RefCell::default(),
-            missed: Notify::new(),
+            target_addresses: RefCell::default(),
+            target_updates: RefCell::default(),
+            updates_missed: Notify::new(),
             withdrawn: RefCell::default(),
             owners: RefCell::default(),
-            asked: Cell::new((0, None)),
-            blocks: RefCell::default(),
-            lines: RefCell::default(),
-            shares: RefCell::default(),
-            dealers: RefCell::default(),
-            lead: RefCell::new(LeaderElection::new(TERM)),
+            owner_requests: Cell::new((0, None)),
+            blocked_keys: RefCell::default(),
+            connections: RefCell::default(),
+            retry_windows: RefCell::default(),
+            splitters: RefCell::default(),
+            election: RefCell::new(LeaderElection::new(LEASE_TTL)),
             leader_state: Rc::default(),
-            former: Cell::new(None),
-            granted: Cell::new(None),
-            port: Port::new(socket),
-            leader: Cell::new(None),
-            heard: Cell::new(None),
-            instances: Cell::new(UNKNOWN_INSTANCES),
+            observed_row: Cell::new(None),
+            grants_expire: Cell::new(None),
+            peer_socket: Port::new(socket),
+            leader_address: Cell::new(None),
+            last_heartbeat: Cell::new(None),
+            instance_count: Cell::new(ASSUMED_INSTANCES),
             membership: RefCell::default(),
             permits: Permits::default(),
-            leading: Cell::new(None),
-            sample: RefCell::default(),
-            reports: RefCell::default(),
-            changed: Notify::new(),
-            refresh: Notify::new(),
-            work: Notify::new(),
-            stopping: Cell::new(None),
-            active: Cell::new(0),
+            leader_since: Cell::new(None),
+            key_counts: RefCell::default(),
+            peer_reports: RefCell::default(),
+            routing_changed: Notify::new(),
+            refresh_requested: Notify::new(),
+            leader_work: Notify::new(),
+            stopping_since: Cell::new(None),
+            active_requests: Cell::new(0),
             settings,
         })
     }
 
     /// Records an event that is about nothing in particular.
-    pub fn note(&self, code: Code, detail: String) {
-        let about = About {
+    pub fn record_event(&self, code: EventCode, detail: String) {
+        let about = EventFields {
             detail: Some(detail),
-            ..About::default()
+            ..EventFields::default()
         };
-        self.events.note(code, about);
+        self.events.record(code, about);
     }
 
     /// Returns the versions and ages of what a decision about a service rested on, for the log.
-    pub fn basis(&self, service: &str) -> String {
+    pub fn describe_views(&self, service: &str) -> String {
         let config = self.config.borrow().as_ref().map_or(0, |it| it.version);
         let owners = self.owners.borrow().get(service).map_or(0, |it| it.version);
         let age = self.targets.borrow().age(Instant::now());
@@ -258,31 +258,35 @@
     }
 
     /// Takes whether the store answered a call.
-    pub fn store_answered(&self, answered: bool) {
-        if answered && !self.able.replace(answered) {
-            self.store_back.notify_waiters();
+    pub fn set_store_reachable(&self, answered: bool) {
+        if answered && !self.store_reachable.replace(answered) {
+            self.store_recovered.notify_waiters();
         }
-        self.able.set(answered);
+        self.store_reachable.set(answered);
     }
 
     /// Returns whether this instance may act as leader now.
-    pub fn leads(&self) -> bool {
-        self.lead.borrow().is_leader(clock::moment())
+    pub fn is_leader(&self) -> bool {
+        self.election.borrow().is_leader(clock::local_time())
     }
 
     /// Returns what is known of the leaders before this instance.
-    pub fn former(&self) -> PreviousLeaders {
+    pub fn previous_leaders(&self) -> PreviousLeaders {
         PreviousLeaders {
-            grants_expire: self.granted.get(),
-            earliest_now: self.lead.borrow().store_timestamp().map(|it| it.store_time),
+            grants_expire: self.grants_expire.get(),
+            earliest_now: self
+                .election
+                .borrow()
+                .store_timestamp()
+                .map(|it| it.store_time),
         }
     }
 
     /// Returns the present moment with the time that the store's clock shows at the latest, if the
     /// store ever told one.
-    pub fn present(&self) -> Option<StoreTimeBound> {
-        let mark = self.lead.borrow().store_timestamp()?;
-        let now = clock::moment();
+    pub fn store_time_bound(&self) -> Option<StoreTimeBound> {
+        let mark = self.election.borrow().store_timestamp()?;
+        let now = clock::local_time();
         Some(StoreTimeBound {
             local: now.monotonic,
             latest: mark.store_time + now.since_boot.saturating_sub(mark.sent_at.since_boot),
@@ -290,53 +294,57 @@
     }
 
     /// Remembers where runs of targets were last, unless a later run is known.
-    pub fn remember(&self, runs: impl Iterator<Item = (TargetIncarnation, SocketAddr)>) {
-        let mut addresses = self.addresses.borrow_mut();
-        for (life, at) in runs {
-            let place = Place {
-                born: life.incarnation,
-                at,
+    pub fn record_addresses(
+        &self,
+        incarnations: impl Iterator<Item = (TargetIncarnation, SocketAddr)>,
+    ) {
+        let mut addresses = self.target_addresses.borrow_mut();
+        for (incarnation, address) in incarnations {
+            let latest = TargetAddress {
+                incarnation: incarnation.incarnation,
+                address,
             };
-            let known = addresses.entry(life.id).or_insert(place);
-            if known.born <= place.born {
-                *known = place;
+            let known = addresses.entry(incarnation.id).or_insert(latest);
+            if known.incarnation <= latest.incarnation {
+                *known = latest;
             }
         }
     }
 
     /// Returns the last known address of a run of a target.
-    pub fn address(&self, life: &TargetIncarnation) -> Option<SocketAddr> {
-        let addresses = self.addresses.borrow();
-        let place = addresses.get(&life.id);
-        place
-            .filter(|it| it.born == life.incarnation)
-            .map(|it| it.at)
+    pub fn target_address(&self, incarnation: &TargetIncarnation) -> Option<SocketAddr> {
+        let addresses = self.target_addresses.borrow();
+        let known = addresses.get(&incarnation.id);
+        known
+            .filter(|it| it.incarnation == incarnation.incarnation)
+            .map(|it| it.address)
     }
 
     /// Returns whether this instance hears another one that is the leader.
-    pub fn is_led(&self) -> bool {
-        let heard = self.heard.get();
-        !self.leads() && heard.is_some_and(|heard| heard.elapsed() <= SILENCE)
+    pub fn is_follower(&self) -> bool {
+        let heard = self.last_heartbeat.get();
+        !self.is_leader() && heard.is_some_and(|heard| heard.elapsed() <= HEARTBEAT_TIMEOUT)
     }
 
     /// Takes the version of the operators' last change that another instance knows.
-    pub fn tell_change(&self, version: u64) {
-        self.config_told.set(version.max(self.config_told.get()));
-        if self.is_behind() {
-            self.behind.notify_one();
+    pub fn update_reported_version(&self, version: u64) {
+        self.reported_version
+            .set(version.max(self.reported_version.get()));
+        if self.is_config_stale() {
+            self.config_stale.notify_one();
         }
     }
 
     /// Returns whether others know a change of the operators' that this instance does not.
-    pub fn is_behind(&self) -> bool {
-        self.config_change.get() < self.config_told.get()
+    pub fn is_config_stale(&self) -> bool {
+        self.operator_version.get() < self.reported_version.get()
     }
 
     /// Counts a request of a caller for the share of retries.
     pub fn count_request(&self, service: &Name) {
         let now = Instant::now();
-        let bound = self.retry_bound();
-        let mut shares = self.shares.borrow_mut();
+        let bound = self.retry_budget();
+        let mut shares = self.retry_windows.borrow_mut();
         let share = shares
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(now));
@@ -344,32 +352,32 @@
     }
 
     /// Takes one repeated send to a service out of this instance's share.
-    pub fn may_repeat(&self, service: &Name) -> bool {
+    pub fn try_add_retry(&self, service: &Name) -> bool {
         let now = Instant::now();
-        let bound = self.retry_bound();
-        let instances = self.instances.get();
-        let mut shares = self.shares.borrow_mut();
+        let bound = self.retry_budget();
+        let instances = self.instance_count.get();
+        let mut shares = self.retry_windows.borrow_mut();
         let share = shares
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(now));
         let allowed = share.try_add_retry(&bound, instances, now);
-        self.metrics.repeat(service, allowed);
+        self.metrics.count_retry(service, allowed);
         allowed
     }
 
     /// Returns whether the instance can serve: it knows the configuration, the targets and, where
     /// keys have owners, these.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let Some(config) = self.config.borrow().clone() else {
             return false;
         };
         let owners = self.owners.borrow();
         let mut divided = config.services.iter().filter(|(_, it)| it.sharded);
         let owned = divided.all(|(name, _)| owners.contains_key(name));
-        owned && self.targets.borrow().known() && self.stopping.get().is_none()
+        owned && self.targets.borrow().known() && self.stopping_since.get().is_none()
     }
 
-    fn retry_bound(&self) -> RetryBudget {
+    fn retry_budget(&self) -> RetryBudget {
         let bounds = self.bounds.borrow();
         RetryBudget {
             ratio: bounds.retry_ratio,
--- a/crates/cowslipcross/src/ports.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -33,9 +33,9 @@
 const SCHEME: &str = "Bearer ";
 
 /// Answers whether the instance is ready.
-pub async fn readiness(context: Rc<Context>, listener: TcpListener) {
+pub async fn serve_readiness(context: Rc<Context>, listener: TcpListener) {
     serve(listener, move |request| match request.uri().path() {
-        READINESS_PATH if context.ready() => plain(StatusCode::OK, "ready"),
+        READINESS_PATH if context.is_ready() => plain(StatusCode::OK, "ready"),
         READINESS_PATH => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         _ => plain(StatusCode::NOT_FOUND, "no such page"),
     })
@@ -43,20 +43,20 @@
 }
 
 /// Answers operators.
-pub async fn operators(context: Rc<Context>, listener: TcpListener) {
+pub async fn serve_operators(context: Rc<Context>, listener: TcpListener) {
     serve(listener, move |request| page(&context, request)).await;
 }
 
 fn page(context: &Context, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/healthz" => plain(StatusCode::OK, "ok"),
-        "/metrics" => Response::new(Full::new(context.metrics.text(context).into())),
+        "/metrics" => Response::new(Full::new(context.metrics.render(context).into())),
         "/status" | "/events" if !granted(request.headers(), &context.settings.token) => {
             plain(StatusCode::UNAUTHORIZED, "token missing or wrong")
         }
         "/status" => json(&Status::from(context)),
         "/events" => match after(request.uri().query().unwrap_or_default()) {
-            Some(after) => json(&context.events.page(after)),
+            Some(after) => json(&context.events.events_after(after)),
             None => plain(StatusCode::BAD_REQUEST, "query is not after=NUMBER"),
         },
         _ => plain(StatusCode::NOT_FOUND, "no such page"),
--- a/crates/cowslipcross/src/events.rs
+++ b/crates/cowslipcross/src/events.rs
@@ -1,19 +1,19 @@
 //! Numbered events of this process, in a bounded ring and in the log.
 
 pub mod catalogue;
-pub mod clock;
+pub mod hybrid_clock;
 pub mod logger;
 mod ring;
 
 pub use {
     catalogue::*,
-    clock::Stamp,
-    ring::{Event, Page},
+    hybrid_clock::HybridTimestamp,
+    ring::{Event, EventPage},
 };
 
 use {
-    clock::Clock,
     cowslip_decide::names::{Incarnation, Name},
+    hybrid_clock::HybridClock,
     ring::Ring,
     spdlog::Logger,
     std::{
@@ -24,11 +24,11 @@
 
 /// Number of a kind of event; `docs/EVENTS.md` lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Code(pub u16);
+pub struct EventCode(pub u16);
 
 /// What an event is about.
 #[derive(Clone, Debug, Default)]
-pub struct About {
+pub struct EventFields {
     /// Request or attempt.
     pub request: Option<Name>,
     /// Key.
@@ -54,7 +54,7 @@
 
 /// Handle that records events; clones share one bounded ring and one clock.
 #[derive(Clone)]
-pub struct Events {
+pub struct EventLog {
     shared: Arc<Shared>,
 }
 
@@ -65,15 +65,15 @@
 }
 
 struct State {
-    clock: Clock,
+    clock: HybridClock,
     ring: Ring,
 }
 
-impl Events {
+impl EventLog {
     /// Returns a handle to an empty ring of `capacity` events; without a logger nothing is logged.
     pub fn new(origin: Origin, capacity: usize, logger: Option<Arc<Logger>>) -> Self {
         let state = State {
-            clock: Clock::default(),
+            clock: HybridClock::default(),
             ring: Ring::new(capacity),
         };
         let shared = Shared {
@@ -87,9 +87,9 @@
     }
 
     /// Records an event; beyond the rate of its kind it is only counted.
-    pub fn note(&self, code: Code, about: About) {
-        let kind = catalogue::kind(code);
-        let Some(event) = self.record(kind, about) else {
+    pub fn record(&self, code: EventCode, about: EventFields) {
+        let kind = catalogue::find_kind(code);
+        let Some(event) = self.append(kind, about) else {
             return;
         };
         if let Some(logger) = &self.shared.logger {
@@ -99,23 +99,23 @@
     }
 
     /// Returns a stamp that is later than every stamp before; it goes out with peer messages.
-    pub fn clock(&self) -> Stamp {
-        self.state().clock.tick()
+    pub fn next_timestamp(&self) -> HybridTimestamp {
+        self.state().clock.next_timestamp()
     }
 
     /// Moves the clock past the stamp of a message that came in.
-    pub fn witness(&self, stamp: Stamp) {
-        self.state().clock.witness(stamp);
+    pub fn observe_timestamp(&self, stamp: HybridTimestamp) {
+        self.state().clock.observe_timestamp(stamp);
     }
 
     /// Returns the kept events with a number above `after`, the oldest first.
-    pub fn page(&self, after: u64) -> Page {
+    pub fn events_after(&self, after: u64) -> EventPage {
         self.state().ring.page(after)
     }
 
-    fn record(&self, kind: &Kind, about: About) -> Option<Event> {
+    fn append(&self, kind: &EventKind, about: EventFields) -> Option<Event> {
         let mut state = self.state();
-        let stamp = state.clock.tick();
+        let stamp = state.clock.next_timestamp();
         if !state.ring.admit(kind, stamp) {
             return None;
         }
@@ -129,16 +129,16 @@
     }
 }
 
-impl fmt::Debug for Events {
+impl fmt::Debug for EventLog {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let origin = &self.shared.origin;
-        f.debug_struct("Events")
+        f.debug_struct("EventLog")
             .field("origin", origin)
             .finish_non_exhaustive()
     }
 }
 
-impl fmt::Display for Code {
+impl fmt::Display for EventCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "CC{:04}", self.0)
     }
--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -1,7 +1,7 @@
 //! Every kind of event: its number, weight, text, meaning and what an operator does.
 
 use {
-    super::{About, Code},
+    super::{EventCode, EventFields},
     serde::Serialize,
 };
 
@@ -24,9 +24,9 @@
 
 /// A kind of event.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct EventKind {
     /// Number.
-    pub code: Code,
+    pub code: EventCode,
     /// Weight.
     pub level: Level,
     /// Events a second that are recorded; `None` for all.
@@ -43,12 +43,12 @@
     ($($code:literal $name:ident $level:ident $rate:expr; $template:literal; $meaning:literal; $action:literal;)*) => {
         $(
             #[doc = $meaning]
-            pub const $name: Code = Code($code);
+            pub const $name: EventCode = EventCode($code);
         )*
 
         /// Every kind in the order of the numbers.
-        pub const CATALOGUE: &[Kind] = &[
-            $(Kind {
+        pub const CATALOGUE: &[EventKind] = &[
+            $(EventKind {
                 code: $name,
                 level: Level::$level,
                 rate: $rate,
@@ -61,25 +61,25 @@
 }
 
 catalogue! {
-    101 START Info None; "started: {detail}";
+    101 INSTANCE_STARTED Info None; "started: {detail}";
         "The process runs and listens."; "Nothing.";
-    102 STOP_BEGUN Info None; "stop begun: {detail}";
+    102 SHUTDOWN_STARTED Info None; "stop begun: {detail}";
         "The process tells that it is not ready and finishes what is in flight."; "Nothing.";
-    103 STOP_ENDED Info None; "stop ended: {detail}";
+    103 SHUTDOWN_FINISHED Info None; "stop ended: {detail}";
         "Nothing is in flight any more and the process ends."; "Nothing.";
     106 CONNECTION_REFUSED Warn FREQUENT; "connection of a caller not accepted: {detail}";
         "A connection could not be accepted, for want of descriptors for example.";
         "Look for callers that leave connections open.";
-    107 DUTY_FAILED Error None; "duty failed: {detail}";
+    107 TASK_FAILED Error None; "duty failed: {detail}";
         "A duty could not start, and the process cannot do its part.";
         "Restart the process; look at the detail if it fails again.";
-    206 VERSION_ADOPTED Info None; "owners adopted: {detail}";
+    206 ASSIGNMENTS_UPDATED Info None; "owners adopted: {detail}";
         "The instance follows later owners of keys."; "Nothing.";
-    210 ASSIGNMENT_RECORDED Info None; "owners recorded: {detail}";
+    210 ASSIGNMENTS_RECORDED Info None; "owners recorded: {detail}";
         "The leader has written owners of keys to the store."; "Nothing.";
-    304 CONFIG_IN_FORCE Info None; "configuration in force: {detail}";
+    304 CONFIG_APPLIED Info None; "configuration in force: {detail}";
         "The instance follows a later configuration."; "Nothing.";
-    305 CONFIG_REFUSED Error None; "configuration refused: {detail}";
+    305 CONFIG_REJECTED Error None; "configuration refused: {detail}";
         "A configuration, or a part of it, cannot be read; without the whole the former stays in force.";
         "Run `cowslipctl check` on the configuration and mend it.";
     306 DATA_CENTRE_WITHDRAWN Info None; "data centre withdrawn: {detail}";
@@ -89,7 +89,7 @@
     404 TARGET_SHED Debug FREQUENT; "target {target} shed request {request}: {detail}";
         "The target refused a request without running it.";
         "If it is frequent, compare the slots that the target reports with what it bears.";
-    405 TARGET_LEAVING Info None; "target {target} leaving: {detail}";
+    405 TARGET_DRAINING Info None; "target {target} leaving: {detail}";
         "The target drains and gets no new work."; "Nothing.";
     409 GRANT_REFUSED Warn FREQUENT; "target {target} refused a grant: {detail}";
         "The target has seen a higher fence for a range than that of the grant.";
@@ -101,44 +101,44 @@
     510 MAY_HAVE_RUN Warn FREQUENT; "answer to request {request} broken: {detail}";
         "No whole answer came back from the target; the verdict is `may-have-run`.";
         "See the page on unserved requests.";
-    601 RELOADED Info None; "settings read again: {detail}";
+    601 SETTINGS_RELOADED Info None; "settings read again: {detail}";
         "The process follows the settings file."; "Nothing.";
-    602 RELOAD_FAILED Error None; "settings not read again: {detail}";
+    602 SETTINGS_RELOAD_FAILED Error None; "settings not read again: {detail}";
         "The settings file is not valid; the former settings stay in force."; "Mend the file.";
-    603 STORE_DOWN Warn None; "store down: {detail}";
+    603 STORE_UNAVAILABLE Warn None; "store down: {detail}";
         "The platform's store does not answer this duty; what is known stays in force.";
         "See the page on outages of the store.";
-    604 STORE_UP Info None; "store up: {detail}";
+    604 STORE_RECOVERED Info None; "store up: {detail}";
         "The platform's store answers this duty again."; "Nothing.";
-    605 REPORT_SKIPPED Warn FREQUENT; "report of a target skipped: {detail}";
+    605 TARGET_REPORT_INVALID Warn FREQUENT; "report of a target skipped: {detail}";
         "A row among the targets cannot be read; the others hold.";
         "Look who writes among the targets.";
-    606 ROW_REFUSED Error FREQUENT; "row refused: {detail}";
+    606 ROW_INVALID Error FREQUENT; "row refused: {detail}";
         "A row of the project's own table cannot be read; the former one stays in force.";
         "Look who writes to the table.";
-    607 WRITE_UNKNOWN Warn FREQUENT; "write without an answer: {detail}";
+    607 WRITE_UNANSWERED Warn FREQUENT; "write without an answer: {detail}";
         "The store may have carried out a write of the leader, or may do so later; it is read back.";
         "Nothing, if `CC0609` does not follow.";
-    608 LEADER_GAINED Info None; "leader: {detail}";
+    608 LEADERSHIP_GAINED Info None; "leader: {detail}";
         "This instance keeps the owners of keys from now on."; "Nothing.";
-    609 LEADER_LOST Warn None; "no longer leader: {detail}";
+    609 LEADERSHIP_LOST Warn None; "no longer leader: {detail}";
         "Another instance takes over once the lease has run out.";
         "Nothing, if another instance tells `CC0608`.";
     610 WRITE_REFUSED Warn FREQUENT; "write refused: {detail}";
         "The store did not carry out a write of the leader."; "Look at the platform.";
-    611 TARGET_FOUND Info FREQUENT; "target {target} found: {detail}";
+    611 TARGET_ADDED Info FREQUENT; "target {target} found: {detail}";
         "A target reports itself, or has started again."; "Nothing.";
-    612 TARGET_GONE Info FREQUENT; "target {target} gone: {detail}";
+    612 TARGET_REMOVED Info FREQUENT; "target {target} gone: {detail}";
         "A target's report is no longer there; it gets no new work."; "Nothing.";
-    613 RANGE_RELEASED Info FREQUENT; "keys {key} released by target {target}: {detail}";
+    613 ASSIGNMENT_RELEASED Info FREQUENT; "keys {key} released by target {target}: {detail}";
         "The leader has taken keys back to give them to another target."; "Nothing.";
-    614 ORDER_FAILED Warn FREQUENT; "order about keys {key} to target {target} failed: {detail}";
+    614 COMMAND_FAILED Warn FREQUENT; "order about keys {key} to target {target} failed: {detail}";
         "A grant or a release got no answer; it is sent again.";
         "If it lasts, look at the path between the leader and the target.";
-    615 LOG_THINNED Info None; "events not recorded so far: {detail}";
+    615 EVENTS_SKIPPED Info None; "events not recorded so far: {detail}";
         "Kinds came more often than their rate; the numbers count from the start of the process.";
         "Nothing; the metrics count every one.";
-    616 RANGE_LEAVING Info FREQUENT; "keys {key} are to leave target {target}: {detail}";
+    616 RELEASE_STARTED Info FREQUENT; "keys {key} are to leave target {target}: {detail}";
         "The leader takes keys back; the answer waits for the work on them, and requests wait too.";
         "Nothing, if `CC0613` follows.";
     701 UNSERVED Info FREQUENT; "request {request} unserved: {detail}";
@@ -150,25 +150,25 @@
     703 NO_CONNECTION Info FREQUENT; "request {request} not sent to target {target}: {detail}";
         "The target took no connection; nothing was sent.";
         "If it lasts, look at the target and at the path to it.";
-    999 UNLISTED Error FREQUENT; "unlisted event: {detail}";
+    999 UNKNOWN_CODE Error FREQUENT; "unlisted event: {detail}";
         "The program used a number that is not in this catalogue."; "Report it to the developers.";
 }
 
 /// Returns the kind of a number.
-pub fn kind(code: Code) -> &'static Kind {
+pub fn find_kind(code: EventCode) -> &'static EventKind {
     let place = CATALOGUE.binary_search_by_key(&code, |kind| kind.code);
     &CATALOGUE[place.unwrap_or(CATALOGUE.len() - 1)]
 }
 
-impl Kind {
+impl EventKind {
     /// Returns the text of an event of this kind.
-    pub fn text(&self, about: &About) -> String {
+    pub fn format_text(&self, about: &EventFields) -> String {
         let mut text = String::with_capacity(96);
         let mut rest = self.template;
         while let Some((before, after)) = rest.split_once('{') {
             text.push_str(before);
             let (place, after) = after.split_once('}').unwrap_or((after, ""));
-            text.push_str(about.part(place).unwrap_or("-"));
+            text.push_str(about.field(place).unwrap_or("-"));
             rest = after;
         }
         text.push_str(rest);
@@ -176,7 +176,7 @@
     }
 
     /// Returns the row of this kind in `docs/EVENTS.md`.
-    pub fn row(&self) -> String {
+    pub fn doc_row(&self) -> String {
         format!(
             "| `{}` | {} | {} | {} | {} |",
             self.code,
@@ -211,8 +211,8 @@
     }
 }
 
-impl About {
-    fn part(&self, place: &str) -> Option<&str> {
+impl EventFields {
+    fn field(&self, place: &str) -> Option<&str> {
         match place {
             "request" => self.request.as_deref(),
             "key" => self.key.as_deref(),
--- a/crates/cowslipcross/src/events/clock.rs
+++ b/crates/cowslipcross/src/events/hybrid_clock.rs
@@ -14,7 +14,7 @@
 ///
 /// If one event can have caused another, its stamp is the lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct HybridTimestamp {
     /// Milliseconds since 1970.
     pub wall: u64,
     /// Orders the moments of one millisecond.
@@ -23,36 +23,36 @@
 
 /// The clock of one process.
 #[derive(Debug)]
-pub(super) struct Clock {
+pub(super) struct HybridClock {
     wall: u64,
     start: Instant,
-    last: Stamp,
+    last: HybridTimestamp,
 }
 
-impl Default for Clock {
+impl Default for HybridClock {
     fn default() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
             wall: since.map_or(0, |it| it.as_millis() as u64),
             start: Instant::now(),
-            last: Stamp::default(),
+            last: HybridTimestamp::default(),
         }
     }
 }
 
-impl Clock {
+impl HybridClock {
     /// Returns the next stamp.
-    pub fn tick(&mut self) -> Stamp {
+    pub fn next_timestamp(&mut self) -> HybridTimestamp {
         let wall = self.now();
         self.last = match wall > self.last.wall {
-            true => Stamp { wall, count: 0 },
+            true => HybridTimestamp { wall, count: 0 },
             false => self.last.next(),
         };
         self.last
     }
 
     /// Moves the clock to a stamp from outside, if that is later.
-    pub fn witness(&mut self, stamp: Stamp) {
+    pub fn observe_timestamp(&mut self, stamp: HybridTimestamp) {
         self.last = self.last.max(stamp);
     }
 
@@ -62,13 +62,13 @@
 }
 
 /// The stamp as one number, as messages carry it.
-impl From<Stamp> for u64 {
-    fn from(stamp: Stamp) -> Self {
+impl From<HybridTimestamp> for u64 {
+    fn from(stamp: HybridTimestamp) -> Self {
         (stamp.wall << COUNT_BITS) | Self::from(stamp.count.min(COUNT_MOST))
     }
 }
 
-impl From<u64> for Stamp {
+impl From<u64> for HybridTimestamp {
     fn from(number: u64) -> Self {
         Self {
             wall: number >> COUNT_BITS,
@@ -78,7 +78,7 @@
     }
 }
 
-impl Stamp {
+impl HybridTimestamp {
     fn next(self) -> Self {
         match self.count.checked_add(1) {
             Some(count) => Self { count, ..self },
--- a/crates/cowslipcross/src/events/ring.rs
+++ b/crates/cowslipcross/src/events/ring.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        About, Origin, Stamp,
-        catalogue::{Kind, Level},
+        EventFields, HybridTimestamp, Origin,
+        catalogue::{EventKind, Level},
     },
     cowslip_decide::names::{Incarnation, Name},
     serde::Serialize,
@@ -17,7 +17,7 @@
     pub seq: u64,
     /// When it happened.
     #[serde(flatten)]
-    pub stamp: Stamp,
+    pub stamp: HybridTimestamp,
     /// Instance that recorded it.
     pub process: Name,
     /// Data centre of that instance.
@@ -46,7 +46,7 @@
 
 /// Events of a process for an operator.
 #[derive(Clone, Debug, Serialize)]
-pub struct Page {
+pub struct EventPage {
     /// Events, the oldest first.
     pub events: Vec<Event>,
     /// Events that the ring has dropped since the start of the process.
@@ -74,7 +74,12 @@
 }
 
 impl Event {
-    pub(super) fn new(origin: &Origin, stamp: Stamp, kind: &Kind, about: About) -> Self {
+    pub(super) fn new(
+        origin: &Origin,
+        stamp: HybridTimestamp,
+        kind: &EventKind,
+        about: EventFields,
+    ) -> Self {
         Self {
             seq: 0,
             stamp,
@@ -83,7 +88,7 @@
             incarnation: origin.incarnation,
             code: kind.code.to_string(),
             level: kind.level,
-            text: kind.text(&about),
+            text: kind.format_text(&about),
             request: about.request,
             key: about.key,
             target: about.target,
@@ -110,7 +115,7 @@
     }
 
     /// Returns whether an event of this kind is within the rate, and counts it if not.
-    pub fn admit(&mut self, kind: &Kind, stamp: Stamp) -> bool {
+    pub fn admit(&mut self, kind: &EventKind, stamp: HybridTimestamp) -> bool {
         match kind.rate {
             Some(limit) => self
                 .rates
@@ -133,21 +138,21 @@
         event
     }
 
-    pub fn page(&self, after: u64) -> Page {
+    pub fn page(&self, after: u64) -> EventPage {
         let from = self.events.partition_point(|event| event.seq <= after);
         let skipped = self.rates.iter().filter(|(_, rate)| rate.skipped > 0);
-        Page {
+        EventPage {
             events: self.events.range(from..).cloned().collect(),
             dropped: self.dropped,
             skipped: skipped
-                .map(|(code, rate)| (super::Code(*code).to_string(), rate.skipped))
+                .map(|(code, rate)| (super::EventCode(*code).to_string(), rate.skipped))
                 .collect(),
         }
     }
 }
 
 impl Rate {
-    fn admit(&mut self, stamp: Stamp, limit: u32) -> bool {
+    fn admit(&mut self, stamp: HybridTimestamp, limit: u32) -> bool {
         let second = stamp.wall / 1000;
         if second > self.second {
             (self.second, self.count) = (second, 0);
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -7,12 +7,12 @@
 use {
     crate::{
         context::Context,
-        events::{self, About},
+        endpoints,
+        events::{self, EventFields},
         lead::{keep, seat},
         peers::{beat, datagram},
-        ports,
         serve::{entry, permit},
-        stop,
+        shutdown,
         views::{config, targets},
     },
     cowslip_settings::{overrides::Overrides, process},
@@ -59,10 +59,15 @@
         .wrap_err_with(|| format!("cannot listen on {}", listen.heartbeats))?;
     let context = Rc::new(Context::new(settings, beats)?);
     note_start(&context);
-    spawn_local(ports::readiness(context.clone(), readiness));
+    spawn_local(endpoints::serve_readiness(context.clone(), readiness));
     match bind(listen.operators) {
-        Ok(listener) => drop(spawn_local(ports::operators(context.clone(), listener))),
-        Err(error) => context.note(events::DUTY_FAILED, format!("operators' port: {error:#}")),
+        Ok(listener) => drop(spawn_local(endpoints::serve_operators(
+            context.clone(),
+            listener,
+        ))),
+        Err(error) => {
+            context.record_event(events::TASK_FAILED, format!("operators' port: {error:#}"))
+        }
     }
     spawn_local(config::follow(context.clone()));
     spawn_local(targets::follow(context.clone()));
@@ -75,7 +80,7 @@
     spawn_local(reloads(context.clone(), path, overrides, reload));
     let conns = entry::Conns::default();
     let accepting = spawn_local(entry::accept(context.clone(), callers, conns.clone()));
-    stop::after(terminate, &context, &conns, accepting).await;
+    shutdown::drain_after_signal(terminate, &context, &conns, accepting).await;
     Ok(())
 }
 
@@ -84,11 +89,11 @@
         "callers {}, store {}",
         context.settings.listen.callers, context.settings.store
     );
-    context.events.note(
-        events::START,
-        About {
+    context.events.record(
+        events::INSTANCE_STARTED,
+        EventFields {
             detail: Some(detail),
-            ..About::default()
+            ..EventFields::default()
         },
     );
 }
@@ -99,9 +104,9 @@
         match process::load(&path, &overrides) {
             Ok(settings) => {
                 *context.bounds.borrow_mut() = settings.bounds;
-                context.note(events::RELOADED, "bounds in force".into());
+                context.record_event(events::SETTINGS_RELOADED, "bounds in force".into());
             }
-            Err(error) => context.note(events::RELOAD_FAILED, error.to_string()),
+            Err(error) => context.record_event(events::SETTINGS_RELOAD_FAILED, error.to_string()),
         }
     }
 }
@@ -111,13 +116,13 @@
     let mut told = BTreeMap::new();
     loop {
         sleep(THINNED).await;
-        let skipped = context.events.page(u64::MAX).skipped;
+        let skipped = context.events.events_after(u64::MAX).skipped;
         if skipped != told {
             let kinds = skipped
                 .iter()
                 .map(|(code, count)| format!("{code}: {count}"));
             let kinds: Vec<String> = kinds.collect();
-            context.note(events::LOG_THINNED, kinds.join(", "));
+            context.record_event(events::EVENTS_SKIPPED, kinds.join(", "));
             told = skipped;
         }
     }
--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        events::{self, About},
+        events::{self, EventFields},
     },
     cowslip_adapter::{
         Error, Result,
@@ -53,11 +53,11 @@
         let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
         if matches!(order, Command::Release { .. }) {
             let about = about(assignment, format!("fence {}", assignment.fence));
-            context.events.note(events::RANGE_LEAVING, about);
+            context.events.record(events::RELEASE_STARTED, about);
         }
         let end = match &assignment.owner {
             Some(owner) => {
-                let current = || context.leads() && current();
+                let current = || context.is_leader() && current();
                 self.send(context, order, owner, current).await
             }
             None => Err(unsent("keys without an owner")),
@@ -107,7 +107,7 @@
 
     /// Returns the connections to a target, where it is or last was.
     fn clients(&self, context: &Context, id: &Name) -> Option<Clients> {
-        let address = context.addresses.borrow().get(id)?.at;
+        let address = context.target_addresses.borrow().get(id)?.address;
         let mut clients = self.clients.borrow_mut();
         let clients = clients.entry(address).or_insert_with(|| Clients {
             grants: Rc::new(Mutex::new(Client::new(address))),
@@ -145,7 +145,7 @@
 }
 
 fn note(context: &Context, order: &Command, done: &CommandOutcome, cause: Option<String>) {
-    context.metrics.order(order, done);
+    context.metrics.count_command(order, done);
     let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
     let (code, what) = match (order, done) {
         (Command::Grant { .. }, CommandOutcome::Accepted) => return,
@@ -153,25 +153,25 @@
             (events::GRANT_REFUSED, "higher fence seen")
         }
         (Command::Release { .. }, CommandOutcome::Released(_)) => {
-            (events::RANGE_RELEASED, "released")
+            (events::ASSIGNMENT_RELEASED, "released")
         }
-        (_, CommandOutcome::TargetEnded) => (events::ORDER_FAILED, "process has ended"),
-        (_, CommandOutcome::Unsent) => (events::ORDER_FAILED, "not sent"),
-        _ => (events::ORDER_FAILED, "no answer"),
+        (_, CommandOutcome::TargetEnded) => (events::COMMAND_FAILED, "process has ended"),
+        (_, CommandOutcome::Unsent) => (events::COMMAND_FAILED, "not sent"),
+        _ => (events::COMMAND_FAILED, "no answer"),
     };
     let cause = cause.map(|it| format!(": {it}")).unwrap_or_default();
     let about = about(
         assignment,
         format!("{what}, fence {}{cause}", assignment.fence),
     );
-    context.events.note(code, about);
+    context.events.record(code, about);
 }
 
-fn about(assignment: &Assignment, detail: String) -> About {
-    About {
+fn about(assignment: &Assignment, detail: String) -> EventFields {
+    EventFields {
         key: Some(format!("{}-{}", assignment.first, assignment.last).into()),
         target: assignment.owner.as_ref().map(|it| it.id.clone()),
         detail: Some(detail),
-        ..About::default()
+        ..EventFields::default()
     }
 }
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -136,7 +136,7 @@
     if state.is_granting() {
         return None;
     }
-    let current = state.reign == context.lead.borrow().epoch();
+    let current = state.reign == context.election.borrow().epoch();
     let all = divided(context).into_iter();
     let holds = all.map(|name| Some(state.services.get(&name)?.keeper.remaining_grant_time(now)));
     let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
@@ -153,7 +153,7 @@
 /// Returns the strongest member but this instance that the store answers.
 pub fn successor(context: &Context) -> Option<Member> {
     let own = context.settings.listen.heartbeats;
-    let reports = context.reports.borrow();
+    let reports = context.peer_reports.borrow();
     let able = reports.members.iter();
     let able = able.filter(|(address, heard)| heard.able && **address != own);
     let members = able.map(|(address, heard)| Member {
@@ -165,7 +165,7 @@
 
 /// Counts the members that the former leader told, so that they hear of the new one at once.
 pub fn take_members(context: &Context) {
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
     for member in context.membership.borrow().members() {
         let heard = Heard {
@@ -179,7 +179,7 @@
 
 /// Takes the load of keys that another instance reports.
 pub fn report(context: &Context, from: SocketAddr, report: Report) {
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     let heard = Heard {
         weight: report.weight,
         able: report.able,
@@ -202,16 +202,16 @@
     let mut told = Known::default();
     loop {
         // Either the tick is over or there is something to do.
-        let _ = timeout(TICK, context.work.notified()).await;
-        let reign = context.lead.borrow().epoch();
+        let _ = timeout(TICK, context.leader_work.notified()).await;
+        let reign = context.election.borrow().epoch();
         if state.borrow().reign != reign {
             let mut state = state.borrow_mut();
             state.services.clear();
             state.reign = reign;
         }
-        if !context.leads() || context.leading.get().is_none() {
+        if !context.is_leader() || context.leader_since.get().is_none() {
             // Without duties there is nothing to look at so often.
-            let _ = timeout(4 * TICK, context.work.notified()).await;
+            let _ = timeout(4 * TICK, context.leader_work.notified()).await;
             continue;
         }
         for service in divided(&context) {
@@ -247,7 +247,7 @@
     fn of(context: &Context) -> Self {
         let owners = context.owners.borrow();
         Self {
-            config: context.config_change.get(),
+            config: context.operator_version.get(),
             targets: context.targets.borrow().changed(),
             owners: owners.values().map(|it| it.version).collect(),
         }
@@ -315,7 +315,7 @@
         delivery_limit: courier::FLIGHT,
     };
     let service = Service {
-        keeper: AssignmentManager::new(&table, timing, context.former(), now),
+        keeper: AssignmentManager::new(&table, timing, context.previous_leaders(), now),
         version: owners.map_or(0, |it| it.version),
         pending: None,
         recording: false,
@@ -329,7 +329,7 @@
 
 /// Returns what the targets that may get keys can do; cold ones only where there is no other.
 fn capacity(context: &Context, all: &BTreeMap<Name, Standing>) -> TargetCapacities {
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     let targets = context.targets.borrow();
     reports.paces.retain(|id, _| targets.get(id).is_some());
     let paces: Vec<u32> = all
@@ -370,7 +370,7 @@
         .map(|it| (it.target.address, it.target.incarnation));
     let listed: BTreeMap<SocketAddr, u64> = listed.collect();
     let unlisted = unlisted.into_iter().filter(|life| {
-        let address = context.address(life);
+        let address = context.target_address(life);
         let next = address.and_then(|at| listed.get(&at));
         next.is_some_and(|born| *born > life.incarnation)
     });
@@ -386,11 +386,14 @@
     }
     service.balanced = now;
     // Keys that were released and cannot be recorded would have no owner.
-    let writes = context.lead.borrow().is_store_writable(clock::moment());
+    let writes = context
+        .election
+        .borrow()
+        .is_store_writable(clock::local_time());
     if !writes || service.pending.is_some() {
         return;
     }
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     let loads = reports.loads(name);
     loads.decay(now);
     let transfers = rebalance(
@@ -416,7 +419,10 @@
 
 /// Sends the orders that are due.
 fn send(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    let strained = context.lead.borrow().is_renewal_overdue(clock::moment());
+    let strained = context
+        .election
+        .borrow()
+        .is_renewal_overdue(clock::local_time());
     let mut own = state.borrow_mut();
     let Some(service) = own.services.get_mut(name) else {
         return;
@@ -439,7 +445,7 @@
                     .keeper
                     .handle_outcome(&order, done, sent, Instant::now());
             }
-            context.work.notify_one();
+            context.leader_work.notify_one();
         });
     }
 }
--- a/crates/cowslipcross/src/lead/recorder.rs
+++ b/crates/cowslipcross/src/lead/recorder.rs
@@ -56,7 +56,7 @@
     };
     spawn_local(async move {
         if task.settled().await && task.record(&all, &capacity).await {
-            task.context.work.notify_one();
+            task.context.leader_work.notify_one();
         }
         task.with(|service| service.recording = false);
     });
@@ -80,7 +80,8 @@
         let Some((table, lost)) = pending else {
             return true;
         };
-        let renewed = self.context.lead.borrow().row_version() > lost && self.context.leads();
+        let renewed =
+            self.context.election.borrow().row_version() > lost && self.context.is_leader();
         renewed && seat::refresh(&self.context).await && self.settle(&table)
     }
 
@@ -102,7 +103,7 @@
         });
         if known == Some(false) {
             // This leader's own grants may be in force for owners that the found table lacks.
-            self.context.granted.set(None);
+            self.context.grants_expire.set(None);
             self.state.borrow_mut().services.remove(&self.name);
         }
         known.unwrap_or(false)
@@ -119,7 +120,7 @@
             Recorded::Done => self.recorded(&table),
             Recorded::Refused => false,
             Recorded::Unknown => {
-                let lost = self.context.lead.borrow().row_version();
+                let lost = self.context.election.borrow().row_version();
                 self.with(|service| service.pending = Some((table, lost)));
                 false
             }
@@ -135,8 +136,9 @@
             service.version = version;
         });
         let detail = format!("service {}, version {version}", self.name);
-        self.context.note(events::ASSIGNMENT_RECORDED, detail);
-        self.context.changed.notify_waiters();
+        self.context
+            .record_event(events::ASSIGNMENTS_RECORDED, detail);
+        self.context.routing_changed.notify_waiters();
         known.is_some()
     }
 }
@@ -160,14 +162,14 @@
     let lives = lives.filter(|life| !ended.contains(life) && !silent.contains(&life.id));
     let lives: BTreeMap<Name, TargetIncarnation> =
         lives.map(|life| (life.id.clone(), life)).collect();
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     let loads = reports.loads(name);
     let sums = sums(&service.keeper.table(), loads);
     let open = capacity.iter().filter(|(id, _)| lives.contains_key(*id));
     let mut least = TargetsByLoad::new(open, &sums);
     let table = service
         .keeper
-        .propose_table(context.present(), |piece, wish| {
+        .propose_table(context.store_time_bound(), |piece, wish| {
             let wish = wish.filter(|wish| capacity.contains_key(*wish));
             let chosen = match wish.and_then(|wish| lives.get(wish)) {
                 Some(life) => life,
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock,
-        context::{Change, Context, Owners, SILENCE, TERM},
+        context::{AssignmentChange, Context, HEARTBEAT_TIMEOUT, LEASE_TTL, RecordedAssignments},
         events,
         lead::{
             courier, keep,
@@ -95,7 +95,7 @@
 impl Reads {
     /// Returns whether the pause after the last one is over; an answer to any call cuts it short.
     fn are_due(&self, context: &Context) -> bool {
-        let pause = if context.able.get() {
+        let pause = if context.store_reachable.get() {
             URGENT
         } else {
             self.pause
@@ -124,12 +124,15 @@
     let delay = UNKNOWN_RANK.mul_f64(rand::random());
     reads.read(&context).await;
     loop {
-        let led = context.leads();
+        let led = context.is_leader();
         let turn = turn(&context, delay);
-        let step = context.lead.borrow_mut().next_action(clock::moment(), turn);
+        let step = context
+            .election
+            .borrow_mut()
+            .next_action(clock::local_time(), turn);
         let searches =
             !led && searches(&context) && reads.at.elapsed() >= SEARCH && reads.are_due(&context);
-        let free = yields <= Instant::now() && context.stopping.get().is_none();
+        let free = yields <= Instant::now() && context.stopping_since.get().is_none();
         match step {
             ElectionAction::Write { version } if free => claim(&context, version).await,
             ElectionAction::Read if reads.are_due(&context) => {
@@ -139,12 +142,12 @@
             _ if searches => reads.read(&context).await,
             _ => {}
         }
-        if context.leads() && context.leading.get().is_none() {
+        if context.is_leader() && context.leader_since.get().is_none() {
             begin(&context).await;
         }
-        if context.leading.get().is_some() && !context.leads() {
-            context.leading.set(None);
-            context.note(events::LEADER_LOST, "lease not renewed".into());
+        if context.leader_since.get().is_some() && !context.is_leader() {
+            context.leader_since.set(None);
+            context.record_event(events::LEADERSHIP_LOST, "lease not renewed".into());
         }
         let again = handed.is_none_or(|at: Instant| at.elapsed() > HAND_OVER);
         if again && hand_over(&context).await {
@@ -152,8 +155,10 @@
             handed = Some(Instant::now());
         }
         // Either the tick is over or the owners have to be read at once.
-        let told = timeout(TICK, context.refresh.notified()).await.is_ok();
-        if told && !context.leads() && reads.are_due(&context) {
+        let told = timeout(TICK, context.refresh_requested.notified())
+            .await
+            .is_ok();
+        if told && !context.is_leader() && reads.are_due(&context) {
             reads.read(&context).await;
         }
     }
@@ -162,8 +167,8 @@
 /// Returns whether this instance looks for a leader: none was heard of late, and those before it
 /// have had their time to take the row.
 fn searches(context: &Context) -> bool {
-    let wait = SILENCE + stagger(context, Duration::ZERO);
-    let heard = context.heard.get();
+    let wait = HEARTBEAT_TIMEOUT + stagger(context, Duration::ZERO);
+    let heard = context.last_heartbeat.get();
     heard.is_none_or(|heard| heard.elapsed() > wait)
 }
 
@@ -192,8 +197,8 @@
 
 /// Hands over to a much stronger member, if there is one; returns whether it did.
 async fn hand_over(context: &Context) -> bool {
-    let settled = context.leading.get();
-    if !context.leads() || settled.is_none_or(|since| since.elapsed() < SETTLED) {
+    let settled = context.leader_since.get();
+    if !context.is_leader() || settled.is_none_or(|since| since.elapsed() < SETTLED) {
         return false;
     }
     let own = membership::weight(context.settings.cpu);
@@ -207,11 +212,11 @@
 
 /// Reads the project's own rows; returns whether the store answered.
 pub async fn refresh(context: &Context) -> bool {
-    let _one = context.writing.lock().await;
-    let sent = clock::moment();
-    let read = context.rows.read_table(ROUTER_TABLE, LIMIT).await;
-    context.metrics.store_call("owners", read.is_ok());
-    context.store_answered(read.is_ok());
+    let _one = context.write_lock.lock().await;
+    let sent = clock::local_time();
+    let read = context.router_store.read_table(ROUTER_TABLE, LIMIT).await;
+    context.metrics.count_store_call("owners", read.is_ok());
+    context.set_store_reachable(read.is_ok());
     let Ok(rows) = read else {
         return false;
     };
@@ -233,7 +238,7 @@
     });
     let value = row.and_then(|row| row.value.as_deref());
     let wire: Option<WireSeat> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let own = wire.as_ref().is_some_and(|it| it.run == context.run);
+    let own = wire.as_ref().is_some_and(|it| it.run == context.run_id);
     let seat = LeaderRow {
         version: row.map_or(0, |row| row.version),
         is_own: own,
@@ -244,13 +249,13 @@
             .map(Duration::from_millis),
     };
     let granted = wire.as_ref().and_then(|it| grants_end(context, it));
-    context.former.set(Some((seat.version, granted)));
+    context.observed_row.set(Some((seat.version, granted)));
     context
-        .lead
+        .election
         .borrow_mut()
-        .apply_row(seat, clock::moment(), mark);
+        .apply_row(seat, clock::local_time(), mark);
     if let Some(wire) = wire.filter(|_| !own) {
-        context.leader.set(Some(wire.heartbeats));
+        context.leader_address.set(Some(wire.heartbeats));
     }
 }
 
@@ -259,7 +264,7 @@
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
     let longest = max_grant_lifetime(context.bounds.borrow().max_ttl, courier::FLIGHT);
-    said.or_else(|| Some(Duration::from_millis(row.told?) + TERM + longest))
+    said.or_else(|| Some(Duration::from_millis(row.told?) + LEASE_TTL + longest))
 }
 
 /// Takes over owners that are not older than those at hand: a row tells more than heartbeats.
@@ -273,10 +278,10 @@
         Ok(read) => read,
         Err(cause) => {
             let detail = format!("owners of {service}, version {}: {cause}", row.version);
-            return context.note(events::ROW_REFUSED, detail);
+            return context.record_event(events::ROW_INVALID, detail);
         }
     };
-    context.remember(addresses.into_iter());
+    context.record_addresses(addresses.into_iter());
     if let Some(same) = known.filter(|it| it.version == row.version) {
         same.table = Rc::new(table);
         return;
@@ -288,15 +293,15 @@
     );
     owners.insert(
         service.into(),
-        Owners {
+        RecordedAssignments {
             version: row.version,
             table: Rc::new(table),
-            change: None,
+            last_change: None,
         },
     );
     drop(owners);
-    context.note(events::VERSION_ADOPTED, detail);
-    context.changed.notify_waiters();
+    context.record_event(events::ASSIGNMENTS_UPDATED, detail);
+    context.routing_changed.notify_waiters();
 }
 
 /// Reads owners and their last known addresses.
@@ -313,39 +318,43 @@
 
 /// Takes or renews the leader's row.
 async fn claim(context: &Context, version: u64) {
-    let one = context.writing.lock().await;
-    let (led, sent) = (context.leads(), clock::moment());
+    let one = context.write_lock.lock().await;
+    let (led, sent) = (context.is_leader(), clock::local_time());
     let said = said(context, sent);
     let checks = [check(SEAT_KEY, version)];
     let puts = [seat(context, said, None)];
-    let end = context.rows.commit(&checks, &puts, LIMIT).await;
+    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
     drop(one);
-    context.metrics.store_call("lease", end.is_ok());
+    context.metrics.count_store_call("lease", end.is_ok());
     settle(context, (said, sent), &end);
-    if !led && context.leads() {
-        context.leading.set(None);
-        let former = context.former.get().filter(|it| it.0 == version);
-        context.granted.set(former.and_then(|(_, until)| until));
+    if !led && context.is_leader() {
+        context.leader_since.set(None);
+        let former = context.observed_row.get().filter(|it| it.0 == version);
+        context
+            .grants_expire
+            .set(former.and_then(|(_, until)| until));
     }
 }
 
 /// Begins to act as leader once the owners are known that the former leader recorded last.
 async fn begin(context: &Context) {
-    if !refresh(context).await || !context.leads() {
+    if !refresh(context).await || !context.is_leader() {
         return;
     }
-    context.leader.set(Some(context.settings.listen.heartbeats));
-    context.leading.set(Some(Instant::now()));
+    context
+        .leader_address
+        .set(Some(context.settings.listen.heartbeats));
+    context.leader_since.set(Some(Instant::now()));
     keep::take_members(context);
-    let version = context.lead.borrow().row_version();
-    context.note(events::LEADER_GAINED, format!("version {version}"));
-    context.work.notify_one();
+    let version = context.election.borrow().row_version();
+    context.record_event(events::LEADERSHIP_GAINED, format!("version {version}"));
+    context.leader_work.notify_one();
 }
 
 /// Returns the time of the store's clock that a write says. Without one it says the beginning of
 /// the clock, so that its lease has run out and the next write says what this one's answer told.
 fn said(context: &Context, now: LocalTime) -> StoreTimestamp {
-    let mark = context.lead.borrow().store_timestamp();
+    let mark = context.election.borrow().store_timestamp();
     mark.unwrap_or(StoreTimestamp {
         store_time: Duration::ZERO,
         sent_at: LocalTime {
@@ -371,20 +380,20 @@
                 sent_at: sent,
             });
             context
-                .lead
+                .election
                 .borrow_mut()
                 .confirm_write(said, *version, told);
         }
         Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == SEAT_KEY) {
             true => see(context, rows, sent),
-            false => context.lead.borrow_mut().mark_write_unanswered(),
+            false => context.election.borrow_mut().mark_write_unanswered(),
         },
         Err(error) if error.is_outcome_unknown() => {
-            context.note(events::WRITE_UNKNOWN, error.to_string());
-            context.lead.borrow_mut().mark_write_unanswered();
+            context.record_event(events::WRITE_UNANSWERED, error.to_string());
+            context.election.borrow_mut().mark_write_unanswered();
         }
         // Nothing was written: the next step tries again.
-        Err(error) => context.note(events::WRITE_REFUSED, error.to_string()),
+        Err(error) => context.record_event(events::WRITE_REFUSED, error.to_string()),
     }
 }
 
@@ -395,23 +404,23 @@
     before: u64,
     table: &AssignmentTable,
 ) -> Recorded {
-    let one = context.writing.lock().await;
-    if !context.leads() {
+    let one = context.write_lock.lock().await;
+    if !context.is_leader() {
         return Recorded::Refused;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let held = context.lead.borrow().row_version();
-    let wire = WireTable::new(table, |life| context.address(life));
+    let held = context.election.borrow().row_version();
+    let wire = WireTable::new(table, |life| context.target_address(life));
     let Ok(mut puts) = record::rows(service, &wire) else {
         return Recorded::Refused;
     };
-    let sent = clock::moment();
+    let sent = clock::local_time();
     let said = said(context, sent);
     let checks = [check(SEAT_KEY, held), check(&key, before)];
     puts.push(seat(context, said, None));
-    let end = context.rows.commit(&checks, &puts, LIMIT).await;
+    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
     drop(one);
-    context.metrics.store_call("record", end.is_ok());
+    context.metrics.count_store_call("record", end.is_ok());
     settle(context, (said, sent), &end);
     match end {
         Ok(CommitOutcome::Committed { version, .. }) => {
@@ -433,47 +442,47 @@
 ) {
     let mut owners = context.owners.borrow_mut();
     let former = owners.get(service).filter(|it| it.version == before);
-    let change = former.map(|former| Change {
-        base: before,
-        pieces: table.changes_since(&former.table),
-        at: Instant::now(),
+    let change = former.map(|former| AssignmentChange {
+        base_version: before,
+        assignments: table.changes_since(&former.table),
+        recorded_at: Instant::now(),
     });
-    let next = Owners {
+    let next = RecordedAssignments {
         version,
         table: Rc::new(table.clone()),
-        change,
+        last_change: change,
     };
     owners.insert(service.clone(), next);
 }
 
 /// Gives the leader's row up for a stop, if this instance has it.
 pub async fn resign(context: &Context) {
-    if context.leads() {
+    if context.is_leader() {
         give_up(context, "given up for a stop").await;
     }
 }
 
 /// Gives the leader's row up, and asks the strongest member to take it.
 async fn give_up(context: &Context, why: &str) {
-    let one = context.writing.lock().await;
-    let version = context.lead.borrow().row_version();
+    let one = context.write_lock.lock().await;
+    let version = context.election.borrow().row_version();
     // From here on no grant begins; those under way end before the row says when they have run out.
-    context.lead.borrow_mut().step_down();
-    context.leading.set(None);
+    context.election.borrow_mut().step_down();
+    context.leader_since.set(None);
     let ends = Instant::now() + GRANTS_END;
     while context.leader_state.borrow().is_granting() && Instant::now() < ends {
         sleep(GRANTS_LOOK).await;
     }
     let checks = [check(SEAT_KEY, version)];
-    let said = said(context, clock::moment());
+    let said = said(context, clock::local_time());
     let puts = [seat(context, said, Some(granted(context)))];
-    let end = context.rows.commit(&checks, &puts, LIMIT).await;
+    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
     drop(one);
     let detail = match end {
         Ok(_) => why.to_owned(),
         Err(error) => format!("{why}, row not written: {error}"),
     };
-    context.note(events::LEADER_LOST, detail);
+    context.record_event(events::LEADERSHIP_LOST, detail);
     if let Some(successor) = keep::successor(context) {
         datagram::send_now(context, &Message::Lead, successor.address);
     }
@@ -489,7 +498,7 @@
 /// Returns the time of the store's clock after which none of this leader's grants is in force, if
 /// that is known.
 fn granted(context: &Context) -> Option<Duration> {
-    Some(context.present()?.latest + keep::holds(context)?)
+    Some(context.store_time_bound()?.latest + keep::holds(context)?)
 }
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
@@ -498,7 +507,7 @@
     let wire = WireSeat {
         name: context.settings.name.clone(),
         run: match given_up {
-            None => context.run.clone(),
+            None => context.run_id.clone(),
             Some(_) => String::new(),
         },
         granted: given_up.flatten().map(|until| until.as_millis() as u64 + 1),
--- a/crates/cowslipcross/src/lib.rs
+++ b/crates/cowslipcross/src/lib.rs
@@ -2,13 +2,13 @@
 
 mod clock;
 mod context;
+mod endpoints;
 pub mod events;
 pub mod instance;
 mod lead;
 pub mod metrics;
 mod peers;
-mod ports;
 mod serve;
+mod shutdown;
 mod status;
-mod stop;
 mod views;
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -6,7 +6,7 @@
     crate::{
         context::Context,
         serve::{answer::Answer, exchange::End, request::BadRequest},
-        status::Ages,
+        status::ViewAges,
     },
     cowslip_adapter::config::Route,
     cowslip_decide::owners::{Command, CommandOutcome},
@@ -102,7 +102,7 @@
     }
 
     /// Counts an answer to a caller.
-    pub fn answered(&self, route: &Route, answer: &Answer, time: Duration) {
+    pub fn count_response(&self, route: &Route, answer: &Answer, time: Duration) {
         let rank = route.priority.to_string();
         let kind = match route.idempotent {
             true => "repeatable",
@@ -119,12 +119,12 @@
     }
 
     /// Counts a request that is not valid.
-    pub fn bad(&self, bad: &BadRequest) {
+    pub fn count_bad_request(&self, bad: &BadRequest) {
         self.bad.with_label_values(&[bad.status().as_str()]).inc();
     }
 
     /// Counts the end of an attempt.
-    pub fn ended(&self, service: &str, end: &End) {
+    pub fn count_attempt(&self, service: &str, end: &End) {
         let word = match end {
             End::Whole(whole) if whole.status.is_server_error() => "error",
             End::Whole(_) => "answer",
@@ -137,19 +137,19 @@
     }
 
     /// Counts a repeated send that was wished for.
-    pub fn repeat(&self, service: &str, allowed: bool) {
+    pub fn count_retry(&self, service: &str, allowed: bool) {
         let end = if allowed { "sent" } else { "refused" };
         self.repeats.with_label_values(&[service, end]).inc();
     }
 
     /// Counts a call to the store.
-    pub fn store_call(&self, what: &str, ok: bool) {
+    pub fn count_store_call(&self, what: &str, ok: bool) {
         let end = if ok { "ok" } else { "failed" };
         self.store.with_label_values(&[what, end]).inc();
     }
 
     /// Counts an order to the owner of keys.
-    pub fn order(&self, order: &Command, done: &CommandOutcome) {
+    pub fn count_command(&self, order: &Command, done: &CommandOutcome) {
         let order = match order {
             Command::Grant { .. } => "grant",
             Command::Release { .. } => "release",
@@ -165,34 +165,34 @@
     }
 
     /// Counts a datagram that could not be sent or read.
-    pub fn bad_datagram(&self) {
+    pub fn count_bad_datagram(&self) {
         self.datagrams.inc();
     }
 
     /// Counts a question for a permit that got no reply.
-    pub fn silent_holder(&self) {
+    pub fn count_permit_timeout(&self) {
         self.silent.inc();
     }
 
     /// Sets the number of targets, and of reports that cannot be read.
-    pub fn reports(&self, targets: usize, unread: usize) {
+    pub fn set_target_reports(&self, targets: usize, unread: usize) {
         self.targets.set(targets as i64);
         self.unread.set(unread as i64);
     }
 
     /// Returns all in the text format of Prometheus.
-    pub fn text(&self, context: &Context) -> Vec<u8> {
+    pub fn render(&self, context: &Context) -> Vec<u8> {
         let version = context.config.borrow().as_ref().map_or(0, |it| it.version);
         self.config.set(version as i64);
-        self.leads.set(i64::from(context.leads()));
-        self.active.set(i64::from(context.active.get()));
-        self.instances.set(i64::from(context.instances.get()));
-        self.set_ages(Ages::from(context));
-        self.registry.text()
+        self.leads.set(i64::from(context.is_leader()));
+        self.active.set(i64::from(context.active_requests.get()));
+        self.instances.set(i64::from(context.instance_count.get()));
+        self.set_ages(ViewAges::from(context));
+        self.registry.render()
     }
 
     /// Sets the ages of the views that there are.
-    fn set_ages(&self, ages: Ages) {
+    fn set_ages(&self, ages: ViewAges) {
         let views = [
             ("configuration", ages.config_ms),
             ("targets", ages.targets_ms),
--- a/crates/cowslipcross/src/metrics/registry.rs
+++ b/crates/cowslipcross/src/metrics/registry.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns all in the text format of Prometheus.
-    pub fn text(&self) -> Vec<u8> {
+    pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.inner.gather(), &mut text) {
             text = format!("# {error}\n").into_bytes();
--- a/crates/cowslipcross/src/peers/beat.rs
+++ b/crates/cowslipcross/src/peers/beat.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         context::Context,
-        events::Stamp,
+        events::HybridTimestamp,
         lead::keep,
         peers::{
             datagram,
@@ -43,17 +43,19 @@
 
 /// Takes a heartbeat.
 pub fn hear(context: &Context, beat: Heartbeat, from: SocketAddr) {
-    context.events.witness(Stamp::from(beat.stamp));
-    let mut lead = context.lead.borrow_mut();
+    context
+        .events
+        .observe_timestamp(HybridTimestamp::from(beat.stamp));
+    let mut lead = context.election.borrow_mut();
     if beat.seat < lead.row_version() {
         return;
     }
-    lead.apply_heartbeat(beat.seat, clock::moment());
+    lead.apply_heartbeat(beat.seat, clock::local_time());
     drop(lead);
-    context.leader.set(Some(from));
-    context.heard.set(Some(Instant::now()));
-    context.instances.set(beat.instances.max(1));
-    context.tell_change(beat.config);
+    context.leader_address.set(Some(from));
+    context.last_heartbeat.set(Some(Instant::now()));
+    context.instance_count.set(beat.instances.max(1));
+    context.update_reported_version(beat.config);
     for (service, recorded) in &beat.owners {
         owners::follow(context, service, recorded, from);
     }
@@ -64,17 +66,19 @@
 pub fn join(context: &Context, text: &str) {
     match Membership::read(text) {
         Some(membership) => *context.membership.borrow_mut() = membership,
-        None => context.metrics.bad_datagram(),
+        None => context.metrics.count_bad_datagram(),
     }
 }
 
 /// Takes a report, and tells its sender the members if it knows others.
 pub fn reported(context: &Context, report: Report, from: SocketAddr) {
-    context.events.witness(Stamp::from(report.stamp));
-    context.tell_change(report.config);
+    context
+        .events
+        .observe_timestamp(HybridTimestamp::from(report.stamp));
+    context.update_reported_version(report.config);
     let known = report.membership == context.membership.borrow().hash();
     keep::report(context, from, report);
-    if context.leads() && !known {
+    if context.is_leader() && !known {
         let text = context.membership.borrow().text();
         datagram::send_now(context, &Message::Members(text), from);
     }
@@ -87,15 +91,15 @@
         sleep(REPORT).await;
         // Old keys say little, so they go where there is no leader, too.
         let report = Report {
-            stamp: context.events.clock().into(),
+            stamp: context.events.next_timestamp().into(),
             weight,
-            able: context.able.get(),
+            able: context.store_reachable.get(),
             membership: context.membership.borrow().hash(),
-            config: context.config_change.get(),
+            config: context.operator_version.get(),
             keys: drain(&context),
             paces: permit::paces(&context),
         };
-        match context.leader.get() {
+        match context.leader_address.get() {
             Some(own) if own == context.settings.listen.heartbeats => {
                 reported(&context, report, own);
             }
@@ -110,18 +114,18 @@
     let membership = Membership::new(members(context));
     let count = membership.members().len().max(1) as u32;
     // A new leader has not heard of all yet, and a share that is too large does harm.
-    let count = match context.leading.get() {
-        Some(since) if since.elapsed() < FORGOTTEN => count.max(context.instances.get()),
+    let count = match context.leader_since.get() {
+        Some(since) if since.elapsed() < FORGOTTEN => count.max(context.instance_count.get()),
         _ => count,
     };
-    context.instances.set(count);
+    context.instance_count.set(count);
     let message = Message::Beat(Heartbeat {
-        stamp: context.events.clock().into(),
-        seat: context.lead.borrow().row_version(),
+        stamp: context.events.next_timestamp().into(),
+        seat: context.election.borrow().row_version(),
         owners: owners::versions(context),
         instances: count,
         membership: membership.hash(),
-        config: context.config_change.get(),
+        config: context.operator_version.get(),
         targets: news::tell(context),
     });
     let own = context.settings.listen.heartbeats;
@@ -134,7 +138,7 @@
 /// Returns the instances that reported of late.
 fn members(context: &Context) -> Vec<Member> {
     let now = Instant::now();
-    let mut reports = context.reports.borrow_mut();
+    let mut reports = context.peer_reports.borrow_mut();
     reports
         .members
         .retain(|_, heard| now - heard.at < FORGOTTEN);
@@ -148,7 +152,7 @@
 
 /// Takes the keys of requests since the last report, for each service the busiest.
 fn drain(context: &Context) -> BTreeMap<Name, Vec<(u16, u32)>> {
-    let sample = context.sample.take();
+    let sample = context.key_counts.take();
     let busiest = |keys: BTreeMap<u16, u32>| {
         let mut keys: Vec<_> = keys.into_iter().collect();
         keys.sort_unstable_by_key(|(_, requests)| Reverse(*requests));
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -50,7 +50,7 @@
     let mut buffer = vec![0; 2 * fragments::LONGEST];
     let mut fragments = Fragments::default();
     loop {
-        let Ok((length, from)) = context.port.socket.recv_from(&mut buffer).await else {
+        let Ok((length, from)) = context.peer_socket.socket.recv_from(&mut buffer).await else {
             sleep(PAUSE).await;
             continue;
         };
@@ -59,7 +59,7 @@
         };
         match serde_json::from_slice(&bytes) {
             Ok(message) => take(&context, message, from),
-            Err(_) => context.metrics.bad_datagram(),
+            Err(_) => context.metrics.count_bad_datagram(),
         }
     }
 }
@@ -70,7 +70,7 @@
         Message::Members(members) => beat::join(context, &members),
         Message::Missed(service) => owners::missed(context, &service, from),
         Message::Owners(service, recorded) => owners::replace(context, &service, &recorded),
-        Message::Lead => context.refresh.notify_one(),
+        Message::Lead => context.refresh_requested.notify_one(),
         Message::Report(report) => beat::reported(context, report, from),
         about_permits => permit::take(context, about_permits, from),
     }
@@ -78,31 +78,36 @@
 
 /// Sends a message unless that would have to wait; datagrams may be lost anyway.
 pub fn send_now(context: &Context, message: &Message, to: SocketAddr) {
-    let Some(datagrams) = context.port.datagrams(message) else {
-        return context.metrics.bad_datagram();
+    let Some(datagrams) = context.peer_socket.datagrams(message) else {
+        return context.metrics.count_bad_datagram();
     };
     for datagram in datagrams {
-        if context.port.socket.try_send_to(&datagram, to).is_err() {
-            context.metrics.bad_datagram();
+        if context
+            .peer_socket
+            .socket
+            .try_send_to(&datagram, to)
+            .is_err()
+        {
+            context.metrics.count_bad_datagram();
         }
     }
 }
 
 /// Sends a message to several instances, one after the other.
 pub async fn send_all(context: &Context, message: &Message, to: &[SocketAddr]) {
-    let Some(datagrams) = context.port.datagrams(message) else {
-        return context.metrics.bad_datagram();
+    let Some(datagrams) = context.peer_socket.datagrams(message) else {
+        return context.metrics.count_bad_datagram();
     };
     for address in to {
         for datagram in &datagrams {
             if context
-                .port
+                .peer_socket
                 .socket
                 .send_to(datagram, address)
                 .await
                 .is_err()
             {
-                context.metrics.bad_datagram();
+                context.metrics.count_bad_datagram();
             }
         }
     }
--- a/crates/cowslipcross/src/peers/owners.rs
+++ b/crates/cowslipcross/src/peers/owners.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        context::{Context, Owners},
+        context::{Context, RecordedAssignments},
         events,
         peers::{
             datagram,
@@ -33,14 +33,16 @@
     let owners = context.owners.borrow();
     let recorded = owners.iter().map(|(name, it)| {
         let fresh = it
-            .change
+            .last_change
             .as_ref()
-            .filter(|change| change.at.elapsed() < FRESH);
-        let told = fresh.filter(|change| change.pieces.len() <= MOST_TOLD);
+            .filter(|change| change.recorded_at.elapsed() < FRESH);
+        let told = fresh.filter(|change| change.assignments.len() <= MOST_TOLD);
         let recorded = Recorded {
             version: it.version,
-            base: told.map_or(0, |change| change.base),
-            pieces: told.map_or_else(Vec::new, |it| it.pieces.iter().map(Into::into).collect()),
+            base: told.map_or(0, |change| change.base_version),
+            pieces: told.map_or_else(Vec::new, |it| {
+                it.assignments.iter().map(Into::into).collect()
+            }),
             large: it.table.assignments.len() > MOST_SENT,
         };
         (name.clone(), recorded)
@@ -70,21 +72,21 @@
 /// Asks the leader for all owners of a service, or the store if they are many, unless that was done
 /// just now.
 fn ask(context: &Context, service: &Name, (large, leader): (bool, SocketAddr)) {
-    let (asks, asked) = context.asked.get();
+    let (asks, asked) = context.owner_requests.get();
     if asked.is_some_and(|at| at.elapsed() < AGAIN) {
         return;
     }
-    context.asked.set((asks + 1, Some(Instant::now())));
+    context.owner_requests.set((asks + 1, Some(Instant::now())));
     match asks < MOST_ASKS && !large {
         true => datagram::send_now(context, &Message::Missed(service.clone()), leader),
-        false => context.refresh.notify_one(),
+        false => context.refresh_requested.notify_one(),
     }
 }
 
 /// Answers one that has missed changes, if this instance is the leader.
 pub fn missed(context: &Context, service: &Name, from: SocketAddr) {
     let owners = context.owners.borrow();
-    let Some(known) = owners.get(service).filter(|_| context.leads()) else {
+    let Some(known) = owners.get(service).filter(|_| context.is_leader()) else {
         return;
     };
     let recorded = Recorded {
@@ -108,7 +110,7 @@
         highest_fence: fence.unwrap_or(Fence(0)),
         assignments: pieces,
     };
-    if recorded.version > known && table.is_complete() && !context.leads() {
+    if recorded.version > known && table.is_complete() && !context.is_leader() {
         adopt(context, service, recorded.version, table);
     }
 }
@@ -118,13 +120,13 @@
         "service {service}, version {version}, {} pieces, from the leader",
         table.assignments.len()
     );
-    let owners = Owners {
+    let owners = RecordedAssignments {
         version,
         table: Rc::new(table),
-        change: None,
+        last_change: None,
     };
     context.owners.borrow_mut().insert(service.clone(), owners);
-    context.asked.set((0, None));
-    context.note(events::VERSION_ADOPTED, detail);
-    context.changed.notify_waiters();
+    context.owner_requests.set((0, None));
+    context.record_event(events::ASSIGNMENTS_UPDATED, detail);
+    context.routing_changed.notify_waiters();
 }
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -72,7 +72,11 @@
         return Choice::Wait(LOOK);
     };
     let piece = owners.table.assignment(key);
-    if let Some(wait) = context.blocks.borrow().wait(&request.service, piece, now) {
+    if let Some(wait) = context
+        .blocked_keys
+        .borrow()
+        .wait(&request.service, piece, now)
+    {
         return Choice::Wait(wait);
     }
     let Some(life) = piece.owner.as_ref() else {
@@ -194,7 +198,7 @@
     line: &Line,
     now: Instant,
 ) -> Result<(), Duration> {
-    let rate = service.cold_rate * COLD_SHARE / f64::from(context.instances.get().max(1));
+    let rate = service.cold_rate * COLD_SHARE / f64::from(context.instance_count.get().max(1));
     line.tokens.borrow_mut().try_take(rate, now)
 }
 
@@ -208,7 +212,7 @@
 
 /// Returns the connections to the present run of a target.
 fn line(context: &Context, seen: &Seen, now: Instant) -> Rc<Line> {
-    let mut lines = context.lines.borrow_mut();
+    let mut lines = context.connections.borrow_mut();
     let id = &seen.target.id;
     if let Some(line) = lines.get(id).filter(|line| line.is_to(&seen.target)) {
         return line.clone();
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        events::{self, About, Code},
+        events::{self, EventCode, EventFields},
         serve::{
             answer::{Answer, Refusal},
             choose::{self, Choice, choose},
@@ -128,7 +128,7 @@
     let Some(end) = course.poll_owner_wait(request.deadline, now) else {
         return Some(ended(course.final_error(Reason::NoOwner)));
     };
-    let changed = context.changed.notified();
+    let changed = context.routing_changed.notified();
     // A timeout only means that it is time to look again.
     let _ = timeout_at(end.min(now + look), changed).await;
     None
@@ -180,7 +180,7 @@
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let all = service.map_or(1, |it| it.max_connections.min(10_000) as u32);
-    (all / context.instances.get().max(1)).max(2)
+    (all / context.instance_count.get().max(1)).max(2)
 }
 
 /// Takes the end of an attempt, and returns what follows.
@@ -191,7 +191,7 @@
     target: &Name,
     end: End,
 ) -> Step {
-    context.metrics.ended(&request.service, &end);
+    context.metrics.count_attempt(&request.service, &end);
     let seen = seen(request, &end);
     match seen {
         AttemptOutcome::Answered | AttemptOutcome::ServerError => unblock(context, request),
@@ -204,7 +204,9 @@
         sharded: request.key.is_some(),
         max_attempts: request.route.max_attempts,
     };
-    let next = course.record_attempt(kind, target, seen, || context.may_repeat(&request.service));
+    let next = course.record_attempt(kind, target, seen, || {
+        context.try_add_retry(&request.service)
+    });
     match (next, end) {
         (NextAction::ReturnAnswer, End::Whole(whole)) => Step::Answer(Answer::Whole(whole)),
         // Only whole answers are passed on.
@@ -249,7 +251,7 @@
 fn block(context: &Context, request: &Request) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
-        let mut blocks = context.blocks.borrow_mut();
+        let mut blocks = context.blocked_keys.borrow_mut();
         blocks.refused(
             &request.service,
             owners.table.assignment(key),
@@ -261,7 +263,7 @@
 fn unblock(context: &Context, request: &Request) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
-        let mut blocks = context.blocks.borrow_mut();
+        let mut blocks = context.blocked_keys.borrow_mut();
         blocks.served(&request.service, owners.table.assignment(key));
     }
 }
@@ -286,24 +288,24 @@
     }
 }
 
-fn note(context: &Context, code: Code, request: &Request, target: &Name, cause: &str) {
+fn note(context: &Context, code: EventCode, request: &Request, target: &Name, cause: &str) {
     let detail = format!(
         "{cause}, service {}, {}, {} ms left",
         request.service,
-        context.basis(&request.service),
+        context.describe_views(&request.service),
         request
             .deadline
             .saturating_duration_since(Instant::now())
             .as_millis()
     );
-    let about = About {
+    let about = EventFields {
         request: request.id.to_str().ok().map(Name::from),
         key: request.key.map(|key| key.to_string().into()),
         target: Some(target.clone()),
         detail: Some(detail),
-        ..About::default()
+        ..EventFields::default()
     };
-    context.events.note(code, about);
+    context.events.record(code, about);
 }
 
 impl NoLink {
--- a/crates/cowslipcross/src/serve/entry.rs
+++ b/crates/cowslipcross/src/serve/entry.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        events::{self, About},
+        events::{self, EventFields},
         serve::{
             answer::{self, Answer, Body},
             count::Counted,
@@ -74,7 +74,7 @@
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(serve(context.clone(), stream, conns.clone()))),
             Err(error) => {
-                context.note(events::CONNECTION_REFUSED, error.to_string());
+                context.record_event(events::CONNECTION_REFUSED, error.to_string());
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -84,7 +84,7 @@
 /// Serves one connection until it ends, or until it is idle during a stop.
 async fn serve(context: Rc<Context>, stream: TcpStream, conns: Conns) {
     if let Err(error) = stream.set_nodelay(true) {
-        context.note(events::CONNECTION_REFUSED, error.to_string());
+        context.record_event(events::CONNECTION_REFUSED, error.to_string());
         return;
     }
     conns.0.count.set(conns.count() + 1);
@@ -121,14 +121,14 @@
 /// Answers one request.
 async fn handle(context: Rc<Context>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
-    let _active = Counted::new(&context.active);
+    let _active = Counted::new(&context.active_requests);
     let (parts, body) = request.into_parts();
     let id = parts.headers.get(&headers::REQUEST_ID).cloned();
     let mut response = match request::read(&context, parts, body, arrived).await {
         Ok(request) => answered(&context, Rc::new(request)).await,
         Err(bad) => refused(&context, &bad, id),
     };
-    if context.stopping.get().is_some() {
+    if context.stopping_since.get().is_some() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -144,13 +144,13 @@
 }
 
 fn refused(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<Body> {
-    context.metrics.bad(bad);
-    let about = About {
+    context.metrics.count_bad_request(bad);
+    let about = EventFields {
         request: id.as_ref().and_then(|id| id.to_str().ok()).map(Name::from),
         detail: Some(format!("{}: {}", bad.status(), bad.text())),
-        ..About::default()
+        ..EventFields::default()
     };
-    context.events.note(events::BAD_REQUEST, about);
+    context.events.record(events::BAD_REQUEST, about);
     let mut response = answer::bad(bad);
     if let Some(id) = id {
         response.headers_mut().insert(headers::REQUEST_ID, id);
@@ -161,7 +161,7 @@
 /// Counts the key for the leader, which spreads keys by their load.
 fn count_key(context: &Context, request: &Request) {
     if let Some(key) = request.key {
-        let mut sample = context.sample.borrow_mut();
+        let mut sample = context.key_counts.borrow_mut();
         let keys = sample.entry(request.service.clone()).or_default();
         *keys.entry(key).or_default() += 1;
     }
@@ -169,11 +169,11 @@
 
 fn note(context: &Context, request: &Request, answer: &Answer) {
     let time = request.arrived.elapsed();
-    context.metrics.answered(&request.route, answer, time);
+    context.metrics.count_response(&request.route, answer, time);
     let Some(reason) = answer.reason() else {
         return;
     };
-    let about = About {
+    let about = EventFields {
         request: request.id.to_str().ok().map(Name::from),
         key: request.key.map(|key| key.to_string().into()),
         detail: Some(format!(
@@ -183,9 +183,9 @@
             request.route.name,
             request.service,
             time.as_millis(),
-            context.basis(&request.service)
+            context.describe_views(&request.service)
         )),
-        ..About::default()
+        ..EventFields::default()
     };
-    context.events.note(events::UNSERVED, about);
+    context.events.record(events::UNSERVED, about);
 }
--- a/crates/cowslipcross/src/serve/permit.rs
+++ b/crates/cowslipcross/src/serve/permit.rs
@@ -121,7 +121,7 @@
             None => unanswered += 1,
             Some(PermitReply::Queued) => {
                 unanswered = 0;
-                let changed = context.changed.notified();
+                let changed = context.routing_changed.notified();
                 let check = (Instant::now() + CHECK).min(request.deadline);
                 tokio::select! {
                     _ = timeout_at(check, waiter.heard()) => {}
@@ -186,7 +186,7 @@
 fn pass_over(context: &Context, holder: SocketAddr) {
     let until = Instant::now() + SILENT;
     context.permits.silent.borrow_mut().insert(holder, until);
-    context.metrics.silent_holder();
+    context.metrics.count_permit_timeout();
 }
 
 impl Waiter {
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -143,7 +143,7 @@
     if let [(only, _)] = route.traffic_split.as_slice() {
         return Some(only.clone());
     }
-    let mut dealers = context.dealers.borrow_mut();
+    let mut dealers = context.splitters.borrow_mut();
     let dealer = dealers
         .entry(route.name.clone())
         .or_insert_with(|| cowslip_decide::traffic_split::TrafficSplitter::new(rand::random()));
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/shutdown.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        events::{self, About},
+        events::{self, EventFields},
         lead::seat,
         serve::entry::Conns,
     },
@@ -23,7 +23,7 @@
 const CHECK: Duration = Duration::from_millis(20);
 
 /// Waits for the signal, then serves on until callers have left.
-pub async fn after(
+pub async fn drain_after_signal(
     mut signal: Signal,
     context: &Context,
     conns: &Conns,
@@ -32,15 +32,17 @@
     signal.recv().await;
     let begun = Instant::now();
     let end = begun + context.bounds.borrow().grace.saturating_sub(MARGIN);
-    context.stopping.set(Some(begun));
-    context.events.note(events::STOP_BEGUN, About::default());
+    context.stopping_since.set(Some(begun));
+    context
+        .events
+        .record(events::SHUTDOWN_STARTED, EventFields::default());
     seat::resign(context).await;
     sleep_until(end.min(begun + ACCEPTING)).await;
     accepting.abort();
     conns.close();
-    while Instant::now() < end && (conns.count() > 0 || context.active.get() > 0) {
+    while Instant::now() < end && (conns.count() > 0 || context.active_requests.get() > 0) {
         sleep(CHECK).await;
     }
-    let detail = format!("{} requests in progress", context.active.get());
-    context.note(events::STOP_ENDED, detail);
+    let detail = format!("{} requests in progress", context.active_requests.get());
+    context.record_event(events::SHUTDOWN_FINISHED, detail);
 }
--- a/crates/cowslipcross/src/status.rs
+++ b/crates/cowslipcross/src/status.rs
@@ -39,13 +39,13 @@
     pub withdrawn: BTreeSet<Name>,
     /// Requests of callers in progress.
     pub active: u32,
-    /// Ages of what it knows.
-    pub ages: Ages,
+    /// ViewAges of what it knows.
+    pub ages: ViewAges,
 }
 
 /// Milliseconds since a view was confirmed last; `None` if it never was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Ages {
+pub struct ViewAges {
     /// Configuration and withdrawals.
     pub config_ms: Option<u64>,
     /// Targets.
@@ -62,31 +62,31 @@
         Self {
             name: context.settings.name.clone(),
             data_centre: context.settings.data_centre.clone(),
-            ready: context.ready(),
-            stopping: context.stopping.get().is_some(),
-            leads: context.leads(),
-            leader: context.leader.get(),
-            instances: context.instances.get(),
+            ready: context.is_ready(),
+            stopping: context.stopping_since.get().is_some(),
+            leads: context.is_leader(),
+            leader: context.leader_address.get(),
+            instances: context.instance_count.get(),
             config: config.as_ref().map_or(0, |it| it.version),
             owners: versions.collect(),
             targets: context.targets.borrow().all().count(),
             withdrawn: context.withdrawn.borrow().keys().cloned().collect(),
-            active: context.active.get(),
-            ages: Ages::from(context),
+            active: context.active_requests.get(),
+            ages: ViewAges::from(context),
         }
     }
 }
 
-impl From<&Context> for Ages {
+impl From<&Context> for ViewAges {
     fn from(context: &Context) -> Self {
         let now = Instant::now();
         let since = |at: Option<Instant>| at.map(|at| millis(now - at));
-        let owners = match context.leads() {
+        let owners = match context.is_leader() {
             true => Some(0),
-            false => since(context.heard.get()),
+            false => since(context.last_heartbeat.get()),
         };
         Self {
-            config_ms: since(context.config_read.get()),
+            config_ms: since(context.config_confirmed.get()),
             targets_ms: context.targets.borrow().age(now).map(millis),
             owners_ms: owners,
         }
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -40,7 +40,7 @@
         health.note(&context, "configuration", read.as_ref().err());
         match read {
             Ok(next) => {
-                context.config_read.set(Some(Instant::now()));
+                context.config_confirmed.set(Some(Instant::now()));
                 version = next;
             }
             Err(_) => health.rest(&context).await,
@@ -50,9 +50,13 @@
 
 /// Waits for changes after a version; returns the next one, or `None` to read everything.
 async fn next(context: &Context, version: u64) -> Result<Option<u64>, Error> {
-    let wait = if context.is_led() { LED_WAIT } else { WAIT };
+    let wait = if context.is_follower() {
+        LED_WAIT
+    } else {
+        WAIT
+    };
     let changes = context
-        .feed
+        .watch_store
         .read_changes(OPERATOR_TABLE, version, wait, LIMIT);
     let Some(rows) = changes.await? else {
         return Ok(None);
@@ -66,12 +70,12 @@
     let begun = Instant::now();
     loop {
         // Either it is time to look, or others know a change.
-        let _ = timeout(CHECK, context.behind.notified()).await;
-        if context.is_behind() {
+        let _ = timeout(CHECK, context.config_stale.notified()).await;
+        if context.is_config_stale() {
             sleep(LAG).await;
         }
-        let alone = !context.is_led() && begun.elapsed() > WAIT + LIMIT;
-        if alone || context.is_behind() {
+        let alone = !context.is_follower() && begun.elapsed() > WAIT + LIMIT;
+        if alone || context.is_config_stale() {
             return;
         }
     }
@@ -79,7 +83,10 @@
 
 /// Reads all of the operators' rows; what is not there any more is taken back.
 async fn whole(context: &Context) -> Result<u64, Error> {
-    let rows = context.feed.read_table(OPERATOR_TABLE, LIMIT).await?;
+    let rows = context
+        .watch_store
+        .read_table(OPERATOR_TABLE, LIMIT)
+        .await?;
     let named = |row: &Row| match OperatorRow::from_key(&row.key) {
         OperatorRow::Withdrawn(data_centre) => Some(Name::from(data_centre)),
         _ => None,
@@ -94,8 +101,8 @@
 }
 
 fn apply(context: &Context, row: &Row) {
-    let last = context.config_change.get();
-    context.config_change.set(last.max(row.version));
+    let last = context.operator_version.get();
+    context.operator_version.set(last.max(row.version));
     match (OperatorRow::from_key(&row.key), &row.value) {
         (OperatorRow::Config, Some(body)) => configure(context, body),
         (OperatorRow::Withdrawn(data_centre), Some(_)) => withdraw(context, data_centre.into()),
@@ -108,7 +115,7 @@
 fn configure(context: &Context, body: &[u8]) {
     let config = match Config::try_from(body) {
         Ok(config) => config,
-        Err(error) => return context.note(events::CONFIG_REFUSED, error.to_string()),
+        Err(error) => return context.record_event(events::CONFIG_REJECTED, error.to_string()),
     };
     let known = context.config.borrow().as_ref().map(|it| it.version);
     if known.is_some_and(|known| known >= config.version) {
@@ -116,29 +123,29 @@
     }
     for error in &config.decode_errors {
         let detail = format!("version {}: left out: {error}", config.version);
-        context.note(events::CONFIG_REFUSED, detail);
+        context.record_event(events::CONFIG_REJECTED, detail);
     }
     let detail = format!("version {}, {} routes", config.version, config.routes.len());
     *context.routes.borrow_mut() = Rc::new(Routes::from(&config));
     *context.config.borrow_mut() = Some(Rc::new(config));
-    context.note(events::CONFIG_IN_FORCE, detail);
-    context.changed.notify_waiters();
-    context.work.notify_one();
+    context.record_event(events::CONFIG_APPLIED, detail);
+    context.routing_changed.notify_waiters();
+    context.leader_work.notify_one();
 }
 
 fn withdraw(context: &Context, data_centre: Name) {
     let mut withdrawn = context.withdrawn.borrow_mut();
     if let Entry::Vacant(entry) = withdrawn.entry(data_centre) {
-        context.note(events::DATA_CENTRE_WITHDRAWN, entry.key().to_string());
+        context.record_event(events::DATA_CENTRE_WITHDRAWN, entry.key().to_string());
         entry.insert(Instant::now());
     }
-    context.work.notify_one();
+    context.leader_work.notify_one();
 }
 
 fn restore(context: &Context, data_centre: &Name) {
     if context.withdrawn.borrow_mut().remove(data_centre).is_some() {
-        context.note(events::DATA_CENTRE_RESTORED, data_centre.to_string());
+        context.record_event(events::DATA_CENTRE_RESTORED, data_centre.to_string());
     }
-    context.work.notify_one();
-    context.changed.notify_waiters();
+    context.leader_work.notify_one();
+    context.routing_changed.notify_waiters();
 }
--- a/crates/cowslipcross/src/views/health.rs
+++ b/crates/cowslipcross/src/views/health.rs
@@ -26,18 +26,18 @@
 impl Health {
     /// Notes the first failure of a row of them and the first success after it.
     pub fn note(&mut self, context: &Context, what: &str, error: Option<&Error>) {
-        context.metrics.store_call(what, error.is_none());
-        context.store_answered(error.is_none());
+        context.metrics.count_store_call(what, error.is_none());
+        context.set_store_reachable(error.is_none());
         self.failures = error.map_or(0, |_| self.failures + 1);
         match (error, self.down) {
             (Some(error), None) => {
                 self.down = Some(Instant::now());
-                context.note(events::STORE_DOWN, format!("{what}: {error}"));
+                context.record_event(events::STORE_UNAVAILABLE, format!("{what}: {error}"));
             }
             (None, Some(since)) => {
                 self.down = None;
                 let detail = format!("{what}: after {} ms", since.elapsed().as_millis());
-                context.note(events::STORE_UP, detail);
+                context.record_event(events::STORE_RECOVERED, detail);
             }
             _ => {}
         }
@@ -49,6 +49,6 @@
         // Instances that failed together must not call together again.
         let pause = pause.mul_f64(rand::random_range(SPREAD));
         // Either is reason enough for another call.
-        let _ = timeout(pause, context.store_back.notified()).await;
+        let _ = timeout(pause, context.store_recovered.notified()).await;
     }
 }
--- a/crates/cowslipcross/src/views/news.rs
+++ b/crates/cowslipcross/src/views/news.rs
@@ -148,7 +148,10 @@
 /// Returns what a heartbeat tells of the targets.
 pub fn tell(context: &Context) -> WireNews {
     let targets = context.targets.borrow();
-    context.news.borrow_mut().tell(&targets, Instant::now())
+    context
+        .target_updates
+        .borrow_mut()
+        .tell(&targets, Instant::now())
 }
 
 fn is_zero(number: &u64) -> bool {
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        events::{self, About},
+        events::{self, EventFields},
         views::{
             health::Health,
             news::WireNews,
@@ -31,7 +31,7 @@
     loop {
         due(&context).await;
         let sent = Instant::now();
-        let read = context.lists.read_table(TARGET_TABLE, LIMIT).await;
+        let read = context.target_store.read_table(TARGET_TABLE, LIMIT).await;
         health.note(&context, "targets", read.as_ref().err());
         match read {
             Ok(rows) => take(&context, &rows, sent),
@@ -43,7 +43,7 @@
 /// Waits until the targets have to be read.
 async fn due(context: &Context) {
     loop {
-        let old = if context.leads() { LEADER_OLD } else { OLD };
+        let old = if context.is_leader() { LEADER_OLD } else { OLD };
         let confirmed = context.targets.borrow().confirmed();
         let Some(due) = confirmed.map(|at| at + old) else {
             return;
@@ -54,7 +54,7 @@
         // Heartbeats may confirm the view meanwhile, or tell that changes were missed.
         tokio::select! {
             () = sleep_until(due) => {}
-            () = context.missed.notified() => return,
+            () = context.updates_missed.notified() => return,
         }
     }
 }
@@ -68,16 +68,16 @@
             Ok(target) => reports.push(target),
             Err(error) => {
                 bad += 1;
-                context.note(events::REPORT_SKIPPED, error.to_string());
+                context.record_event(events::TARGET_REPORT_INVALID, error.to_string());
             }
         }
     }
-    context.metrics.reports(reports.len(), bad);
+    context.metrics.set_target_reports(reports.len(), bad);
     let before = context.targets.borrow().clone();
     let now = Instant::now();
     let (next, changes) = before.next(reports, rows.store_version, (sent, now));
     if !changes.is_empty() {
-        let mut news = context.news.borrow_mut();
+        let mut news = context.target_updates.borrow_mut();
         news.add((before.changed(), next.changed()), changes);
     }
     adopt(context, &before, next);
@@ -89,21 +89,21 @@
     match before.hear(news, Instant::now()) {
         Heard::Confirmed(same) => *context.targets.borrow_mut() = Rc::new(same),
         Heard::Changed(next) => adopt(context, &before, next),
-        Heard::Missed => context.missed.notify_waiters(),
+        Heard::Missed => context.updates_missed.notify_waiters(),
     }
 }
 
 /// Takes over a view of the targets, and notes what has changed.
 fn adopt(context: &Context, before: &Targets, next: Targets) {
     let changed = note_changes(context, before, &next);
-    context.remember(next.all().map(|it| (it.life(), it.target.address)));
-    let mut lines = context.lines.borrow_mut();
+    context.record_addresses(next.all().map(|it| (it.life(), it.target.address)));
+    let mut lines = context.connections.borrow_mut();
     lines.retain(|id, _| next.get(id).is_some());
     drop(lines);
     *context.targets.borrow_mut() = Rc::new(next);
     if changed {
-        context.changed.notify_waiters();
-        context.work.notify_one();
+        context.routing_changed.notify_waiters();
+        context.leader_work.notify_one();
     }
 }
 
@@ -111,12 +111,12 @@
     let mut changed = false;
     let mut note = |code, seen: &Seen, detail: String| {
         changed = true;
-        let about = About {
+        let about = EventFields {
             target: Some(seen.target.id.clone()),
             detail: Some(detail),
-            ..About::default()
+            ..EventFields::default()
         };
-        context.events.note(code, about);
+        context.events.record(code, about);
     };
     for seen in next.all() {
         let target = &seen.target;
@@ -130,14 +130,14 @@
                 target.data_centre,
                 target.cold_remaining.as_millis()
             );
-            note(events::TARGET_FOUND, seen, detail);
+            note(events::TARGET_ADDED, seen, detail);
         }
         if seen.leaving.is_some() && known.is_none_or(|it| it.leaving.is_none()) {
-            note(events::TARGET_LEAVING, seen, "by its report".into());
+            note(events::TARGET_DRAINING, seen, "by its report".into());
         }
     }
     for seen in before.all().filter(|it| next.get(&it.target.id).is_none()) {
-        note(events::TARGET_GONE, seen, "no report any more".into());
+        note(events::TARGET_REMOVED, seen, "no report any more".into());
     }
     changed
 }
--- a/crates/cowslipcross/tests/events.rs
+++ b/crates/cowslipcross/tests/events.rs
@@ -2,55 +2,57 @@
 
 use {
     cowslip_decide::names::Incarnation,
-    cowslipcross::events::{self, About, CATALOGUE, Code, Events, Level, Origin, Stamp},
+    cowslipcross::events::{
+        self, CATALOGUE, EventCode, EventFields, EventLog, HybridTimestamp, Level, Origin,
+    },
     std::{collections::BTreeSet, time::Duration},
 };
 
-fn events(capacity: usize) -> Events {
+fn events(capacity: usize) -> EventLog {
     let origin = Origin {
         process: "entry-1".into(),
         data_centre: "hk-1".into(),
         incarnation: Incarnation(7),
     };
-    Events::new(origin, capacity, None)
+    EventLog::new(origin, capacity, None)
 }
 
 #[test]
 fn a_full_ring_drops_the_oldest_and_counts_them() {
     let events = events(3);
-    (0..5).for_each(|_| events.note(events::START, About::default()));
-    let page = events.page(0);
+    (0..5).for_each(|_| events.record(events::INSTANCE_STARTED, EventFields::default()));
+    let page = events.events_after(0);
     let seqs: Vec<_> = page.events.iter().map(|event| event.seq).collect();
     assert_eq!((seqs, page.dropped), (vec![3, 4, 5], 2));
-    assert_eq!(events.page(4).events.len(), 1);
-    assert_eq!(events.page(9).events.len(), 0);
+    assert_eq!(events.events_after(4).events.len(), 1);
+    assert_eq!(events.events_after(9).events.len(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_frequent_kind_is_sampled_each_second() {
     let events = events(1000);
-    (0..60).for_each(|_| events.note(events::UNSERVED, About::default()));
-    assert_eq!(events.page(0).events.len(), 50);
-    assert_eq!(events.page(0).skipped["CC0701"], 10);
+    (0..60).for_each(|_| events.record(events::UNSERVED, EventFields::default()));
+    assert_eq!(events.events_after(0).events.len(), 50);
+    assert_eq!(events.events_after(0).skipped["CC0701"], 10);
     tokio::time::advance(Duration::from_secs(1)).await;
-    events.note(events::UNSERVED, About::default());
-    assert_eq!(events.page(0).events.len(), 51);
+    events.record(events::UNSERVED, EventFields::default());
+    assert_eq!(events.events_after(0).events.len(), 51);
 }
 
 #[tokio::test(start_paused = true)]
 async fn stamps_order_causes_over_processes() {
     let (left, right) = (events(10), events(10));
-    let mut last = left.clock();
+    let mut last = left.next_timestamp();
     for step in 0..100 {
-        let ahead = Stamp {
+        let ahead = HybridTimestamp {
             wall: last.wall + step % 3,
             count: u32::MAX - (step as u32 % 2),
         };
-        right.witness(ahead);
-        let answer = right.clock();
+        right.observe_timestamp(ahead);
+        let answer = right.next_timestamp();
         assert!(answer > ahead, "{answer:?} after {ahead:?}");
-        left.witness(answer);
-        let stamp = left.clock();
+        left.observe_timestamp(answer);
+        let stamp = left.next_timestamp();
         assert!(stamp > answer && stamp > last, "{stamp:?} after {answer:?}");
         last = stamp;
         if step % 7 == 0 {
@@ -62,22 +64,22 @@
 #[tokio::test(start_paused = true)]
 async fn the_clock_follows_the_clock_of_the_runtime() {
     let events = events(10);
-    let before = events.clock();
+    let before = events.next_timestamp();
     tokio::time::advance(Duration::from_millis(1500)).await;
-    assert_eq!(events.clock().wall - before.wall, 1500);
+    assert_eq!(events.next_timestamp().wall - before.wall, 1500);
 }
 
 #[test]
 fn an_event_says_what_it_is_about() {
     let events = events(10);
-    let about = About {
+    let about = EventFields {
         target: Some("board-3".into()),
         detail: Some("300 ms".to_owned()),
-        ..About::default()
+        ..EventFields::default()
     };
-    events.note(events::TARGET_FOUND, about);
-    events.note(Code(7), About::default());
-    let page = events.page(0);
+    events.record(events::TARGET_ADDED, about);
+    events.record(EventCode(7), EventFields::default());
+    let page = events.events_after(0);
     let event = &page.events[0];
     assert_eq!(event.text, "target board-3 found: 300 ms");
     assert_eq!((event.code.as_str(), event.level), ("CC0611", Level::Info));
@@ -117,7 +119,7 @@
         .lines()
         .filter(|line| line.starts_with("| `CC"))
         .collect();
-    let expected: Vec<_> = CATALOGUE.iter().map(|kind| kind.row()).collect();
+    let expected: Vec<_> = CATALOGUE.iter().map(|kind| kind.doc_row()).collect();
     assert_eq!(rows, expected);
 }
 
@@ -128,7 +130,7 @@
         (1_790_000_000_123, 7),
         (1_790_000_000_123, 1_048_575),
     ] {
-        let stamp = Stamp { wall, count };
-        assert_eq!(Stamp::from(u64::from(stamp)), stamp);
+        let stamp = HybridTimestamp { wall, count };
+        assert_eq!(HybridTimestamp::from(u64::from(stamp)), stamp);
     }
 }
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -6,7 +6,7 @@
         store::{FakeStore, StoreMode},
     },
     cowslip_decide::names::Incarnation,
-    cowslipcross::events::{self, About, Events, Origin},
+    cowslipcross::events::{self, EventFields, EventLog, Origin},
     http::{Response, StatusCode, header::AUTHORIZATION},
     http_body_util::Full,
     hyper::{body::Bytes, server::conn::http1, service::service_fn},
@@ -153,7 +153,7 @@
 }
 
 /// Serves the operators' pages of an instance with some events; returns the flag that names it.
-async fn instance(name: &'static str, events: Events) -> String {
+async fn instance(name: &'static str, events: EventLog) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let status = json!({
@@ -168,7 +168,7 @@
                 let granted = given.is_some_and(|it| it == format!("Bearer {TOKEN}").as_str());
                 let body = match request.uri().path() {
                     "/status" => status.to_string(),
-                    _ => serde_json::to_string(&events.page(0)).expect("JSON"),
+                    _ => serde_json::to_string(&events.events_after(0)).expect("JSON"),
                 };
                 let mut response = Response::new(Full::new(Bytes::from(body)));
                 if !granted {
@@ -184,13 +184,13 @@
     format!("--set=instances.{name}={address}")
 }
 
-fn origin(name: &str) -> Events {
+fn origin(name: &str) -> EventLog {
     let origin = Origin {
         process: name.into(),
         data_centre: "hk-1".into(),
         incarnation: Incarnation(1),
     };
-    Events::new(origin, 100, None)
+    EventLog::new(origin, 100, None)
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -203,9 +203,9 @@
     drop(closed);
     let gone = format!("--set=instances.entry-3={gone}");
     let token = "--set=token=a-long-token";
-    one.note(events::LEADER_LOST, About::default());
-    two.witness(one.clock());
-    two.note(events::LEADER_GAINED, About::default());
+    one.record(events::LEADERSHIP_LOST, EventFields::default());
+    two.observe_timestamp(one.next_timestamp());
+    two.record(events::LEADERSHIP_GAINED, EventFields::default());
 
     let (code, out, _) = run(&["status", token, &first, &second]).await;
     assert!(
--- a/crates/cowslipctl/tests/timeline.rs
+++ b/crates/cowslipctl/tests/timeline.rs
@@ -2,7 +2,7 @@
 
 use {
     cowslip_decide::names::{Incarnation, Name},
-    cowslipcross::events::{self, About, Events, Origin, Stamp},
+    cowslipcross::events::{self, EventFields, EventLog, HybridTimestamp, Origin},
     cowslipctl::timeline::{
         diagram,
         event::{Event, EventPage},
@@ -15,18 +15,18 @@
 
 const PROCESSES: usize = 4;
 
-fn process(index: usize) -> Events {
+fn process(index: usize) -> EventLog {
     let origin = Origin {
         process: format!("entry-{index}").into(),
         data_centre: format!("hk-{}", index % 2).into(),
         incarnation: Incarnation(1),
     };
-    Events::new(origin, 10_000, None)
+    EventLog::new(origin, 10_000, None)
 }
 
-fn pages(processes: &[Events]) -> BTreeMap<Name, EventPage> {
-    let page = |events: &Events| {
-        let json = serde_json::to_string(&events.page(0)).expect("JSON");
+fn pages(processes: &[EventLog]) -> BTreeMap<Name, EventPage> {
+    let page = |events: &EventLog| {
+        let json = serde_json::to_string(&events.events_after(0)).expect("JSON");
         serde_json::from_str(&json).expect("a page")
     };
     let named = processes.iter().enumerate();
@@ -42,8 +42,8 @@
         let mut random = Gen::from_size_and_seed(10, seed);
         let processes: Vec<_> = (0..PROCESSES).map(process).collect();
         // One clock is hours ahead.
-        let now = processes[0].clock();
-        processes[0].witness(Stamp {
+        let now = processes[0].next_timestamp();
+        processes[0].observe_timestamp(HybridTimestamp {
             wall: now.wall + 10_000_000,
             ..now
         });
@@ -56,18 +56,18 @@
                 usize::arbitrary(&mut random) % PROCESSES,
             );
             if bool::arbitrary(&mut random) {
-                processes[to].witness(processes[from].clock());
+                processes[to].observe_timestamp(processes[from].next_timestamp());
                 let more = known[from].clone();
                 known[to].extend(more);
             }
             causes.push(known[from].clone());
             known[from].push(number);
             let detail = Some(number.to_string());
-            processes[from].note(
-                events::STORE_DOWN,
-                About {
+            processes[from].record(
+                events::STORE_UNAVAILABLE,
+                EventFields {
                     detail,
-                    ..About::default()
+                    ..EventFields::default()
                 },
             );
             // A frequent kind would be sampled; this one is not.
@@ -103,28 +103,28 @@
     let processes: Vec<_> = (0..2).map(process).collect();
     let some = |text: &str| Some(Name::from(text));
     let about = [
-        About {
+        EventFields {
             request: some("entry-0-1-7"),
             target: some("board-1"),
-            ..About::default()
+            ..EventFields::default()
         },
-        About {
+        EventFields {
             request: some("entry-0-1-7.2"),
             target: some("board-2"),
-            ..About::default()
+            ..EventFields::default()
         },
-        About {
+        EventFields {
             request: some("entry-0-1-71"),
             key: some("site-4"),
-            ..About::default()
+            ..EventFields::default()
         },
-        About {
+        EventFields {
             instance: some("entry-9"),
-            ..About::default()
+            ..EventFields::default()
         },
     ];
     for (index, about) in about.into_iter().enumerate() {
-        processes[index % 2].note(events::STORE_UP, about);
+        processes[index % 2].record(events::STORE_RECOVERED, about);
     }
     let count = |filter: EventFilter| merge_events(&pages(&processes), &filter).len();
     let all = EventFilter::default;
@@ -184,7 +184,9 @@
 #[test]
 fn the_picture_has_a_point_for_each_event() {
     let processes: Vec<_> = (0..3).map(process).collect();
-    (0..9).for_each(|index| processes[index % 3].note(events::LEADER_LOST, About::default()));
+    (0..9).for_each(|index| {
+        processes[index % 3].record(events::LEADERSHIP_LOST, EventFields::default())
+    });
     let svg = diagram::render_svg(&merge_events(&pages(&processes), &EventFilter::default()))
         .expect("a picture");
     assert_eq!(svg.matches("<circle").count(), 9);
