--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -70,7 +70,7 @@
     /// Start of the run.
     pub incarnation: u64,
     /// Its address.
-    pub address: SocketAddr,
+    pub socket_address: SocketAddr,
 }
 
 /// Keys of requests since the last report, by service.
@@ -294,17 +294,14 @@
     }
 
     /// Remembers where runs of targets were last, unless a later run is known.
-    pub fn record_addresses(
-        &self,
-        incarnations: impl Iterator<Item = (TargetIncarnation, SocketAddr)>,
-    ) {
+    pub fn record_addresses(&self, targets: impl Iterator<Item = (TargetIncarnation, SocketAddr)>) {
         let mut addresses = self.target_addresses.borrow_mut();
-        for (incarnation, address) in incarnations {
+        for (target, socket_address) in targets {
             let latest = TargetAddress {
-                incarnation: incarnation.incarnation,
-                address,
+                incarnation: target.incarnation,
+                socket_address,
             };
-            let known = addresses.entry(incarnation.id).or_insert(latest);
+            let known = addresses.entry(target.id).or_insert(latest);
             if known.incarnation <= latest.incarnation {
                 *known = latest;
             }
@@ -312,12 +309,12 @@
     }
 
     /// Returns the last known address of a run of a target.
-    pub fn target_address(&self, incarnation: &TargetIncarnation) -> Option<SocketAddr> {
+    pub fn target_address(&self, target: &TargetIncarnation) -> Option<SocketAddr> {
         let addresses = self.target_addresses.borrow();
-        let known = addresses.get(&incarnation.id);
+        let known = addresses.get(&target.id);
         known
-            .filter(|it| it.incarnation == incarnation.incarnation)
-            .map(|it| it.address)
+            .filter(|it| it.incarnation == target.incarnation)
+            .map(|it| it.socket_address)
     }
 
     /// Returns whether this instance hears another one that is the leader.
@@ -352,7 +349,7 @@
     }
 
     /// Takes one repeated send to a service out of this instance's share.
-    pub fn try_add_retry(&self, service: &Name) -> bool {
+    pub fn reserve_retry(&self, service: &Name) -> bool {
         let now = Instant::now();
         let bound = self.retry_budget();
         let instances = self.instance_count.get();
--- a/crates/cowslipcross/src/events.rs
+++ b/crates/cowslipcross/src/events.rs
@@ -100,7 +100,7 @@
 
     /// Returns a stamp that is later than every stamp before; it goes out with peer messages.
     pub fn next_timestamp(&self) -> HybridTimestamp {
-        self.state().clock.next_timestamp()
+        self.state().clock.advance()
     }
 
     /// Moves the clock past the stamp of a message that came in.
@@ -115,7 +115,7 @@
 
     fn append(&self, kind: &EventKind, about: EventFields) -> Option<Event> {
         let mut state = self.state();
-        let stamp = state.clock.next_timestamp();
+        let stamp = state.clock.advance();
         if !state.ring.admit(kind, stamp) {
             return None;
         }
--- a/crates/cowslipcross/src/events/hybrid_clock.rs
+++ b/crates/cowslipcross/src/events/hybrid_clock.rs
@@ -42,7 +42,7 @@
 
 impl HybridClock {
     /// Returns the next stamp.
-    pub fn next_timestamp(&mut self) -> HybridTimestamp {
+    pub fn advance(&mut self) -> HybridTimestamp {
         let wall = self.now();
         self.last = match wall > self.last.wall {
             true => HybridTimestamp { wall, count: 0 },
--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -107,7 +107,7 @@
 
     /// Returns the connections to a target, where it is or last was.
     fn clients(&self, context: &Context, id: &Name) -> Option<Clients> {
-        let address = context.target_addresses.borrow().get(id)?.address;
+        let address = context.target_addresses.borrow().get(id)?.socket_address;
         let mut clients = self.clients.borrow_mut();
         let clients = clients.entry(address).or_insert_with(|| Clients {
             grants: Rc::new(Mutex::new(Client::new(address))),
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -205,7 +205,7 @@
         max_attempts: request.route.max_attempts,
     };
     let next = course.record_attempt(kind, target, seen, || {
-        context.try_add_retry(&request.service)
+        context.reserve_retry(&request.service)
     });
     match (next, end) {
         (NextAction::ReturnAnswer, End::Whole(whole)) => Step::Answer(Answer::Whole(whole)),
