--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an instance share.
+//! State shared by the tasks of an instance.
 
 use {
     crate::{
@@ -33,148 +33,150 @@
     },
 };
 
-/// Lease of the leader.
+/// Time for which the leader's lease lasts after a write of its row.
 pub const LEASE_TTL: Duration = Duration::from_millis(2500);
-/// Time without a heartbeat after which the leader counts as unheard.
+/// Time since the last heartbeat after which an instance considers the leader lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// Instances that are assumed until the leader tells their number; a high one makes shares small.
+/// Number of instances assumed before the first heartbeat; high, so that this instance's part of
+/// the limits that all share starts small.
 const ASSUMED_INSTANCES: u32 = 100;
-/// EventLog that are kept for operators.
+/// Events kept for operators.
 const EVENT_CAPACITY: usize = 512;
 
-/// Owners of a service's keys as they were recorded.
+/// Assignments of a service as recorded in the store.
 #[derive(Clone, Debug)]
 pub struct RecordedAssignments {
-    /// Version of the row.
+    /// Version of the service's row in the store.
     pub version: u64,
-    /// Owners.
+    /// Recorded assignments.
     pub table: Rc<AssignmentTable>,
-    /// What the leader changed last, if this instance is the leader.
+    /// Last change, if this instance wrote it as leader.
     pub last_change: Option<AssignmentChange>,
 }
 
-/// Difference between two versions of the recorded owners.
+/// Difference between two versions of the recorded assignments.
 #[derive(Clone, Debug)]
 pub struct AssignmentChange {
-    /// Version before it.
+    /// Version to which the change applies.
     pub base_version: u64,
-    /// Pieces that are new.
+    /// Assignments that were added or replaced.
     pub assignments: Vec<Assignment>,
-    /// Time of the record.
+    /// When the store confirmed the write.
     pub recorded_at: Instant,
 }
 
-/// Where the latest known run of a target was last.
+/// Last known socket address of a target's latest known incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetAddress {
-    /// Start of the run.
+    /// Incarnation of the target.
     pub incarnation: u64,
-    /// Its address.
+    /// Its last known address.
     pub socket_address: SocketAddr,
 }
 
-/// Keys of requests since the last report, by service.
+/// Number of requests by service and key since the last report to the leader.
 pub type KeyCounts = BTreeMap<Name, BTreeMap<u16, u32>>;
 
-/// What the tasks of an instance share.
+/// State shared by the tasks of an instance.
 pub struct Context {
-    /// Settings of the process.
+    /// Settings of the process as read at start.
     pub settings: ProcessSettings,
-    /// Bounds, which a reload replaces.
+    /// Section `bounds` of the settings, replaced on a reload.
     pub bounds: RefCell<Bounds>,
-    /// Run of this instance; rows that it wrote bear it.
+    /// Identifies this run of the instance as the writer of the leader's row.
     pub run_id: String,
-    /// Events.
+    /// Events for operators and the log.
     pub events: EventLog,
-    /// Metrics.
+    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Store for reads that wait for changes.
+    /// Store client for reads of the operators' rows, which wait for changes.
     pub watch_store: Store,
-    /// Store for reads of targets.
+    /// Store client for reads of targets' reports.
     pub target_store: Store,
-    /// Store for reads and writes of the project's own rows.
+    /// Store client for reads and writes of the router's own table.
     pub router_store: Store,
-    /// Whether the store answered last.
+    /// Whether the store answered this instance's last call.
     pub store_reachable: Cell<bool>,
-    /// Told when the store answers again.
+    /// Notified when the store answers again.
     pub store_recovered: Notify,
-    /// Lets one write of the project's own rows after another.
+    /// Serialises accesses to the router's own table.
     pub write_lock: Mutex<()>,
-    /// Last time the store told whether the configuration has changed.
+    /// When the store last confirmed that the operators' rows are up to date.
     pub config_confirmed: Cell<Option<Instant>>,
-    /// Version of the operators' last change that this instance knows.
+    /// Highest version of an operators' row that this instance has applied.
     pub operator_version: Cell<u64>,
-    /// Version of the operators' last change that others told.
+    /// Highest version of an operators' row that another instance has reported.
     reported_version: Cell<u64>,
-    /// Told when others know a change of the operators' that this instance does not.
+    /// Notified when another instance has read operators' rows that this one has not.
     pub config_stale: Notify,
-    /// Configuration in force.
+    /// Configuration in force; `None` before the first one was read.
     pub config: RefCell<Option<Rc<Config>>>,
-    /// Routes in force.
+    /// Routes of the configuration in force.
     pub routes: RefCell<Rc<Routes>>,
-    /// Targets as this instance sees them.
+    /// Targets as last read from the store or received from the leader.
     pub targets: RefCell<Rc<Targets>>,
-    /// Where targets were last: one whose report has lapsed may still hold keys.
+    /// Last known addresses of targets: one whose report has lapsed may still own keys.
     pub target_addresses: RefCell<BTreeMap<Name, TargetAddress>>,
-    /// The last change of the targets that this instance has read.
+    /// Latest changes of targets, sent to the other instances while this one leads.
     pub target_updates: RefCell<News>,
-    /// Told when changes of the targets were missed.
+    /// Notified when the leader's updates of targets cannot be applied and the store must be read.
     pub updates_missed: Notify,
-    /// Withdrawn data centres and since when this instance knows it.
+    /// Withdrawn data centres, with the time at which this instance learned of it.
     pub withdrawn: RefCell<BTreeMap<Name, Instant>>,
-    /// Owners of keys by service.
+    /// Recorded assignments by service.
     pub owners: RefCell<BTreeMap<Name, RecordedAssignments>>,
-    /// How often owners that were missed were asked for in vain, and when last.
+    /// Requests for missed assignments since the last reply, and when the last one was sent.
     pub owner_requests: Cell<(u32, Option<Instant>)>,
-    /// Keys whose owner refused a request of late.
+    /// Keys whose owner refused a request a moment ago.
     pub blocked_keys: RefCell<Blocks>,
-    /// Connections and load by target.
+    /// Connections to targets, with their load.
     pub connections: RefCell<BTreeMap<Name, Rc<Line>>>,
-    /// Retries by service.
+    /// Requests and retries by service within the retry window.
     pub retry_windows: RefCell<BTreeMap<Name, RetryWindow>>,
-    /// Distribution of each route's requests by weight.
+    /// Weighted distribution of each route's requests over services.
     pub splitters: RefCell<BTreeMap<Name, TrafficSplitter>>,
-    /// Leadership.
+    /// State machine of the leader election.
     pub election: RefCell<LeaderElection>,
-    /// What this instance knows as leader.
+    /// Assignment managers of this instance's time as leader.
     pub leader_state: Rc<RefCell<LeaderState>>,
-    /// Version of the leader's row as it was read last, and the time of the store's clock after
-    /// which none of its holder's grants is in force, if it tells.
+    /// Version of the leader's row as last read, and the time on the store's clock after which no
+    /// grant of its writer is in force, if the row allows to tell.
     pub observed_row: Cell<Option<(u64, Option<Duration>)>>,
-    /// The same time, if this instance took the row over from that version.
+    /// Time on the store's clock after which no grant of the previous leader is in force; `None` if
+    /// it is not known or this instance did not replace the observed row.
     pub grants_expire: Cell<Option<Duration>>,
-    /// Port for datagrams of other instances.
+    /// UDP socket for messages between instances.
     pub peer_socket: Port,
-    /// Address of the leader.
+    /// Address of the leader's UDP socket.
     pub leader_address: Cell<Option<SocketAddr>>,
-    /// Time of the leader's last heartbeat.
+    /// When the leader's last heartbeat arrived.
     pub last_heartbeat: Cell<Option<Instant>>,
-    /// Instances that the leader hears of.
+    /// Number of instances as counted by the leader.
     pub instance_count: Cell<u32>,
-    /// Instances that the leader hears of, with their addresses.
+    /// Instances known to the leader, with addresses and weights.
     pub membership: RefCell<Membership>,
-    /// Permits that this instance gives and asks for.
+    /// Permits granted to other instances and requested from them.
     pub permits: Permits,
-    /// Since when this instance is the leader.
+    /// When this instance began to act as leader; `None` if it does not.
     pub leader_since: Cell<Option<Instant>>,
-    /// Keys of requests since the last report.
+    /// Requests by service and key since the last report to the leader.
     pub key_counts: RefCell<KeyCounts>,
-    /// What other instances report; of use to the leader.
+    /// Load reports of all instances; used by the leader.
     pub peer_reports: RefCell<Reports>,
-    /// Told when targets, owners or withdrawals change.
+    /// Notified when targets, assignments, configuration or withdrawals change.
     pub routing_changed: Notify,
-    /// Told when the recorded owners have to be read.
+    /// Notified when the router's own table has to be read at once.
     pub refresh_requested: Notify,
-    /// Told when the leader has something to do.
+    /// Notified when the leader loop has something to do.
     pub leader_work: Notify,
-    /// Time of the stop signal.
+    /// When the stop signal arrived.
     pub stopping_since: Cell<Option<Instant>>,
     /// Requests in progress.
     pub active_requests: Cell<u32>,
 }
 
 impl Context {
-    /// Creates the context of an instance that knows nothing yet.
+    /// Creates the context of an instance that has read nothing from the store yet.
     ///
     /// # Errors
     /// Fails if the log cannot be opened.
@@ -236,16 +238,16 @@
         })
     }
 
-    /// Records an event that is about nothing in particular.
+    /// Records an event that has no field but its detail.
     pub fn record_event(&self, code: EventCode, detail: String) {
-        let about = EventFields {
+        let fields = EventFields {
             detail: Some(detail),
             ..EventFields::default()
         };
-        self.events.record(code, about);
+        self.events.record(code, fields);
     }
 
-    /// Returns the versions and ages of what a decision about a service rested on, for the log.
+    /// Describes the versions and ages of the data used to route to a service, for the log.
     pub fn describe_views(&self, service: &str) -> String {
         let config = self.config.borrow().as_ref().map_or(0, |it| it.version);
         let owners = self.owners.borrow().get(service).map_or(0, |it| it.version);
@@ -257,20 +259,20 @@
         format!("config {config}, owners {owners}, targets read {age}")
     }
 
-    /// Takes whether the store answered a call.
-    pub fn set_store_reachable(&self, answered: bool) {
-        if answered && !self.store_reachable.replace(answered) {
+    /// Records whether the store answered a call, and notifies waiters once it is reachable again.
+    pub fn set_store_reachable(&self, reachable: bool) {
+        if reachable && !self.store_reachable.replace(reachable) {
             self.store_recovered.notify_waiters();
         }
-        self.store_reachable.set(answered);
+        self.store_reachable.set(reachable);
     }
 
-    /// Returns whether this instance may act as leader now.
+    /// Returns whether this instance's lease as leader is valid now.
     pub fn is_leader(&self) -> bool {
         self.election.borrow().is_leader(clock::local_time())
     }
 
-    /// Returns what is known of the leaders before this instance.
+    /// Returns the bounds on grants of the leaders before this instance.
     pub fn previous_leaders(&self) -> PreviousLeaders {
         PreviousLeaders {
             grants_expire: self.grants_expire.get(),
@@ -282,18 +284,19 @@
         }
     }
 
-    /// Returns the present moment with the time that the store's clock shows at the latest, if the
-    /// store ever told one.
+    /// Returns the local time with the latest time that the store's clock can show now; `None` until
+    /// the store has reported its clock.
     pub fn store_time_bound(&self) -> Option<StoreTimeBound> {
-        let mark = self.election.borrow().store_timestamp()?;
+        let timestamp = self.election.borrow().store_timestamp()?;
         let now = clock::local_time();
         Some(StoreTimeBound {
             local: now.monotonic,
-            latest: mark.store_time + now.since_boot.saturating_sub(mark.sent_at.since_boot),
+            latest: timestamp.store_time
+                + now.since_boot.saturating_sub(timestamp.sent_at.since_boot),
         })
     }
 
-    /// Remembers where runs of targets were last, unless a later run is known.
+    /// Records the addresses of target incarnations, except where a later incarnation is known.
     pub fn record_addresses(&self, targets: impl Iterator<Item = (TargetIncarnation, SocketAddr)>) {
         let mut addresses = self.target_addresses.borrow_mut();
         for (target, socket_address) in targets {
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Returns the last known address of a run of a target.
+    /// Returns the last known address of a target incarnation; `None` if another one is known.
     pub fn target_address(&self, target: &TargetIncarnation) -> Option<SocketAddr> {
         let addresses = self.target_addresses.borrow();
         let known = addresses.get(&target.id);
@@ -317,13 +320,13 @@
             .map(|it| it.socket_address)
     }
 
-    /// Returns whether this instance hears another one that is the leader.
+    /// Returns whether another instance leads and its heartbeats arrive.
     pub fn is_follower(&self) -> bool {
-        let heard = self.last_heartbeat.get();
-        !self.is_leader() && heard.is_some_and(|heard| heard.elapsed() <= HEARTBEAT_TIMEOUT)
+        let last = self.last_heartbeat.get();
+        !self.is_leader() && last.is_some_and(|last| last.elapsed() <= HEARTBEAT_TIMEOUT)
     }
 
-    /// Takes the version of the operators' last change that another instance knows.
+    /// Records the version of the operators' rows that another instance has applied.
     pub fn update_reported_version(&self, version: u64) {
         self.reported_version
             .set(version.max(self.reported_version.get()));
@@ -332,46 +335,47 @@
         }
     }
 
-    /// Returns whether others know a change of the operators' that this instance does not.
+    /// Returns whether another instance has applied operators' rows that this one has not read.
     pub fn is_config_stale(&self) -> bool {
         self.operator_version.get() < self.reported_version.get()
     }
 
-    /// Counts a request of a caller for the share of retries.
+    /// Counts a caller's request, which raises the number of retries allowed.
     pub fn count_request(&self, service: &Name) {
         let now = Instant::now();
-        let bound = self.retry_budget();
-        let mut shares = self.retry_windows.borrow_mut();
-        let share = shares
+        let budget = self.retry_budget();
+        let mut windows = self.retry_windows.borrow_mut();
+        let window = windows
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(now));
-        share.add_request(&bound, now);
+        window.add_request(&budget, now);
     }
 
-    /// Takes one repeated send to a service out of this instance's share.
+    /// Counts a retry to a service and returns `true`, or returns `false` if this instance's share of
+    /// the retry budget is used up.
     pub fn reserve_retry(&self, service: &Name) -> bool {
         let now = Instant::now();
-        let bound = self.retry_budget();
+        let budget = self.retry_budget();
         let instances = self.instance_count.get();
-        let mut shares = self.retry_windows.borrow_mut();
-        let share = shares
+        let mut windows = self.retry_windows.borrow_mut();
+        let window = windows
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(now));
-        let allowed = share.try_add_retry(&bound, instances, now);
+        let allowed = window.try_add_retry(&budget, instances, now);
         self.metrics.count_retry(service, allowed);
         allowed
     }
 
-    /// Returns whether the instance can serve: it knows the configuration, the targets and, where
-    /// keys have owners, these.
+    /// Returns whether the instance can serve: it is not stopping and has the configuration, the
+    /// targets and the assignments of every sharded service.
     pub fn is_ready(&self) -> bool {
         let Some(config) = self.config.borrow().clone() else {
             return false;
         };
         let owners = self.owners.borrow();
-        let mut divided = config.services.iter().filter(|(_, it)| it.sharded);
-        let owned = divided.all(|(name, _)| owners.contains_key(name));
-        owned && self.targets.borrow().known() && self.stopping_since.get().is_none()
+        let mut sharded = config.services.iter().filter(|(_, it)| it.sharded);
+        let has_owners = sharded.all(|(name, _)| owners.contains_key(name));
+        has_owners && self.targets.borrow().known() && self.stopping_since.get().is_none()
     }
 
     fn retry_budget(&self) -> RetryBudget {
@@ -384,7 +388,7 @@
     }
 }
 
-/// Returns the time since 1970.
+/// Returns the time since the Unix epoch.
 fn since_epoch() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
