--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         events::{EventCode, EventFields, EventLog, Origin, logger},
-        lead::keep::{LeaderState, Reports},
+        lead::leader_loop::{LeaderState, PeerReports},
         metrics::Metrics,
         peers::{datagram::Port, membership::Membership},
         serve::{block::Blocks, line::Line, permit::Permits, route::Routes},
@@ -162,7 +162,7 @@
     /// Requests by service and key since the last report to the leader.
     pub key_counts: RefCell<KeyCounts>,
     /// Load reports of all instances; used by the leader.
-    pub peer_reports: RefCell<Reports>,
+    pub peer_reports: RefCell<PeerReports>,
     /// Notified when targets, assignments, configuration or withdrawals change.
     pub routing_changed: Notify,
     /// Notified when the router's own table has to be read at once.
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -9,7 +9,7 @@
         context::Context,
         endpoints,
         events::{self, EventFields},
-        lead::{keep, seat},
+        lead::{leader_loop, leader_row},
         peers::{beat, datagram},
         serve::{entry, permit},
         shutdown,
@@ -74,8 +74,8 @@
     spawn_local(datagram::receive(context.clone()));
     spawn_local(beat::report(context.clone()));
     spawn_local(permit::serve(context.clone()));
-    spawn_local(seat::hold(context.clone()));
-    spawn_local(keep::keep(context.clone()));
+    spawn_local(leader_row::maintain(context.clone()));
+    spawn_local(leader_loop::run(context.clone()));
     spawn_local(tell_thinned(context.clone()));
     spawn_local(reloads(context.clone(), path, overrides, reload));
     let conns = entry::Conns::default();
--- a/crates/cowslipcross/src/lead/recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -5,9 +5,9 @@
         context::Context,
         events,
         lead::{
-            keep::{LeaderState, Service},
-            seat::{self, Recorded},
-            standing::Standing,
+            leader_loop::{LeaderState, ServiceState},
+            leader_row::{self, RecordingOutcome},
+            target_status::TargetStatus,
         },
     },
     cowslip_decide::{
@@ -34,47 +34,50 @@
     context: &Rc<Context>,
     state: &Rc<RefCell<LeaderState>>,
     name: &Name,
-    all: BTreeMap<Name, Standing>,
+    all: BTreeMap<Name, TargetStatus>,
     capacity: TargetCapacities,
 ) {
     let mut open = state.borrow_mut();
     let Some(service) = open.services.get_mut(name) else {
         return;
     };
-    let wanted = service.pending.is_some() || service.keeper.needs_recording(Instant::now());
-    let spaced = service.recorded.is_none_or(|at| at.elapsed() >= SPACING);
-    if service.recording || !wanted || !spaced {
+    let wanted =
+        service.unconfirmed_write.is_some() || service.manager.needs_recording(Instant::now());
+    let spaced = service
+        .last_recording
+        .is_none_or(|at| at.elapsed() >= SPACING);
+    if service.is_recording || !wanted || !spaced {
         return;
     }
-    service.recording = true;
-    service.recorded = Some(Instant::now());
+    service.is_recording = true;
+    service.last_recording = Some(Instant::now());
     let task = Task {
         context: context.clone(),
         state: state.clone(),
         name: name.clone(),
-        begun: service.begun,
+        begun: service.started_at,
     };
     spawn_local(async move {
         if task.settled().await && task.record(&all, &capacity).await {
             task.context.leader_work.notify_one();
         }
-        task.with(|service| service.recording = false);
+        task.with(|service| service.is_recording = false);
     });
 }
 
 impl Task {
     /// Does something with the service, unless it was given up or taken over anew meanwhile.
-    fn with<T>(&self, work: impl FnOnce(&mut Service) -> T) -> Option<T> {
+    fn with<T>(&self, work: impl FnOnce(&mut ServiceState) -> T) -> Option<T> {
         let mut state = self.state.borrow_mut();
         let service = state.services.get_mut(&self.name);
-        service.filter(|it| it.begun == self.begun).map(work)
+        service.filter(|it| it.started_at == self.begun).map(work)
     }
 
     /// Finds out whether a record without an answer is in the store; returns whether that is known.
     ///
     /// A renewal of the leader's row comes first: after it the lost write cannot be carried out.
     async fn settled(&self) -> bool {
-        let Some(pending) = self.with(|service| service.pending.clone()) else {
+        let Some(pending) = self.with(|service| service.unconfirmed_write.clone()) else {
             return false;
         };
         let Some((table, lost)) = pending else {
@@ -82,7 +85,7 @@
         };
         let renewed =
             self.context.election.borrow().row_version() > lost && self.context.is_leader();
-        renewed && seat::refresh(&self.context).await && self.settle(&table)
+        renewed && leader_row::refresh_router_table(&self.context).await && self.settle(&table)
     }
 
     /// Compares the record without an answer with what the store has.
@@ -91,14 +94,14 @@
         let version = owners.as_ref().map_or(0, |it| it.version);
         let written = owners.is_some_and(|it| *it.table == *pending);
         let known = self.with(|service| {
-            if version > service.version && !written {
+            if version > service.recorded_version && !written {
                 return false;
             }
-            if version > service.version {
-                service.keeper.apply_recorded(pending, Instant::now());
-                service.version = version;
+            if version > service.recorded_version {
+                service.manager.apply_recorded(pending, Instant::now());
+                service.recorded_version = version;
             }
-            service.pending = None;
+            service.unconfirmed_write = None;
             true
         });
         if known == Some(false) {
@@ -110,18 +113,22 @@
     }
 
     /// Records what waits for it; returns whether something was recorded.
-    async fn record(&self, all: &BTreeMap<Name, Standing>, capacity: &TargetCapacities) -> bool {
+    async fn record(
+        &self,
+        all: &BTreeMap<Name, TargetStatus>,
+        capacity: &TargetCapacities,
+    ) -> bool {
         let proposal =
             self.with(|service| proposal(&self.context, service, &self.name, all, capacity));
         let Some((version, table)) = proposal.flatten() else {
             return false;
         };
-        match seat::record(&self.context, &self.name, version, &table).await {
-            Recorded::Done => self.recorded(&table),
-            Recorded::Refused => false,
-            Recorded::Unknown => {
+        match leader_row::record_assignments(&self.context, &self.name, version, &table).await {
+            RecordingOutcome::Recorded => self.recorded(&table),
+            RecordingOutcome::NotRecorded => false,
+            RecordingOutcome::Unknown => {
                 let lost = self.context.election.borrow().row_version();
-                self.with(|service| service.pending = Some((table, lost)));
+                self.with(|service| service.unconfirmed_write = Some((table, lost)));
                 false
             }
         }
@@ -132,8 +139,8 @@
         let version = owners.get(&self.name).map_or(0, |it| it.version);
         drop(owners);
         let known = self.with(|service| {
-            service.keeper.apply_recorded(table, Instant::now());
-            service.version = version;
+            service.manager.apply_recorded(table, Instant::now());
+            service.recorded_version = version;
         });
         let detail = format!("service {}, version {version}", self.name);
         self.context
@@ -146,29 +153,29 @@
 /// Returns the owners to record next, with the version that they replace.
 fn proposal(
     context: &Context,
-    service: &Service,
+    service: &ServiceState,
     name: &Name,
-    all: &BTreeMap<Name, Standing>,
+    all: &BTreeMap<Name, TargetStatus>,
     capacity: &TargetCapacities,
 ) -> Option<(u64, AssignmentTable)> {
     let (ended, silent) = (
-        service.keeper.ended_incarnations(),
-        service.keeper.unanswered_owners(),
+        service.manager.ended_incarnations(),
+        service.manager.unanswered_owners(),
     );
     let lives = all.iter().map(|(id, standing)| TargetIncarnation {
         id: id.clone(),
-        incarnation: standing.born,
+        incarnation: standing.incarnation,
     });
     let lives = lives.filter(|life| !ended.contains(life) && !silent.contains(&life.id));
     let lives: BTreeMap<Name, TargetIncarnation> =
         lives.map(|life| (life.id.clone(), life)).collect();
     let mut reports = context.peer_reports.borrow_mut();
-    let loads = reports.loads(name);
-    let sums = sums(&service.keeper.table(), loads);
+    let loads = reports.key_loads(name);
+    let sums = sums(&service.manager.table(), loads);
     let open = capacity.iter().filter(|(id, _)| lives.contains_key(*id));
     let mut least = TargetsByLoad::new(open, &sums);
     let table = service
-        .keeper
+        .manager
         .propose_table(context.store_time_bound(), |piece, wish| {
             let wish = wish.filter(|wish| capacity.contains_key(*wish));
             let chosen = match wish.and_then(|wish| lives.get(wish)) {
@@ -178,7 +185,7 @@
             least.add_load(&chosen.id, loads.range_load(piece.first, piece.last));
             Some(chosen.clone())
         });
-    table.map(|table| (service.version, table))
+    table.map(|table| (service.recorded_version, table))
 }
 
 /// Returns the load of each target by the keys that it owns.
--- a/crates/cowslipcross/src/lead/record.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// Fails if the owners have no JSON form.
-pub fn rows(service: &str, wire: &WireTable) -> serde_json::Result<Vec<RowWrite>> {
+pub fn encode(service: &str, wire: &AssignmentRowValue) -> serde_json::Result<Vec<RowWrite>> {
     let value = serde_json::to_vec(wire)?;
     let key = format!("{OWNERS_PREFIX}{service}");
     if value.len() <= LONGEST {
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// Says what is wrong with them.
-pub fn read(service: &str, row: &Row, all: &[Row]) -> Result<WireTable, String> {
+pub fn decode(service: &str, row: &Row, all: &[Row]) -> Result<AssignmentRowValue, String> {
     let value = row.value.as_deref().unwrap_or_default();
     let said = |error: serde_json::Error| error.to_string();
     let Ok(WireParts { parts }) = serde_json::from_slice(value) else {
@@ -74,7 +74,7 @@
 
 /// Owners of a service's keys as a row has them.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct WireTable {
+pub struct AssignmentRowValue {
     /// Owners: id and time of the start.
     #[serde(rename = "o")]
     owners: Vec<(Name, u64)>,
@@ -93,7 +93,7 @@
     ends: BTreeMap<u16, u64>,
 }
 
-impl WireTable {
+impl AssignmentRowValue {
     /// Returns a table with the addresses of its owners, as far as they are known.
     pub fn new(
         table: &AssignmentTable,
@@ -137,10 +137,10 @@
     }
 }
 
-impl TryFrom<WireTable> for AssignmentTable {
+impl TryFrom<AssignmentRowValue> for AssignmentTable {
     type Error = &'static str;
 
-    fn try_from(wire: WireTable) -> Result<Self, Self::Error> {
+    fn try_from(wire: AssignmentRowValue) -> Result<Self, Self::Error> {
         let ends = wire
             .pieces
             .iter()
@@ -180,5 +180,5 @@
 }
 
 #[cfg(test)]
-#[path = "record_tests.rs"]
+#[path = "assignment_rows_tests.rs"]
 mod tests;
--- a/crates/cowslipcross/src/lead/record_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -1,7 +1,7 @@
 //! Recorded owners come back as they were, fit a row, and broken rows are refused.
 
 use {
-    super::{WireTable, rows},
+    super::{AssignmentRowValue, encode},
     cowslip_adapter::store::{Row, RowWrite},
     cowslip_decide::{
         names::Fence,
@@ -38,11 +38,12 @@
 
 fn written(table: &AssignmentTable) -> Vec<u8> {
     let address = |_: &TargetIncarnation| Some(ADDRESS);
-    serde_json::to_vec(&WireTable::new(table, address)).expect("JSON")
+    serde_json::to_vec(&AssignmentRowValue::new(table, address)).expect("JSON")
 }
 
 fn read(row: &[u8]) -> Result<AssignmentTable, String> {
-    let wire: WireTable = serde_json::from_slice(row).map_err(|error| error.to_string())?;
+    let wire: AssignmentRowValue =
+        serde_json::from_slice(row).map_err(|error| error.to_string())?;
     AssignmentTable::try_from(wire).map_err(str::to_owned)
 }
 
@@ -66,10 +67,10 @@
     let table = table(2, 4);
     let second = table.assignments[1].owner.clone().expect("an owner");
     let known = |life: &TargetIncarnation| (*life == second).then_some(ADDRESS);
-    let wire = WireTable::new(&table, known);
+    let wire = AssignmentRowValue::new(&table, known);
     assert_eq!(wire.addresses(), [(second.clone(), ADDRESS)]);
     let without = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
-    let wire: WireTable = serde_json::from_str(without).expect("a table");
+    let wire: AssignmentRowValue = serde_json::from_str(without).expect("a table");
     assert!(wire.addresses().is_empty());
 }
 
@@ -77,8 +78,8 @@
 fn owners_of_a_large_deployment_come_back_from_several_rows() {
     for (targets, pieces, count) in [(300, 800, 1), (800, 1600, 3), (3000, 6000, 8)] {
         let table = table(targets, pieces);
-        let wire = WireTable::new(&table, |_| Some(ADDRESS));
-        let puts = rows("boards", &wire).expect("rows");
+        let wire = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
+        let puts = encode("boards", &wire).expect("rows");
         assert_eq!(puts.len(), count, "{targets} targets, {pieces} pieces");
         let longest = puts.iter().map(|it| it.value.len()).max();
         // In the text form four bytes stand for three.
@@ -86,10 +87,10 @@
         let mut all: Vec<Row> = puts.into_iter().map(row).collect();
         let head = all.iter().find(|it| it.key == "owners/boards").cloned();
         let head = head.expect("the row that the others are parts of");
-        let read = super::read("boards", &head, &all).expect("owners");
+        let read = super::decode("boards", &head, &all).expect("owners");
         assert_eq!(AssignmentTable::try_from(read), Ok(table));
         all.retain(|it| it.key != "parts/boards/001");
-        let partly = super::read("boards", &head, &all);
+        let partly = super::decode("boards", &head, &all);
         assert_eq!(partly.is_err(), count > 1, "a part is missing");
     }
 }
--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/command_sender.rs
@@ -22,13 +22,13 @@
 const GRANT_LIMIT: Duration = Duration::from_millis(500);
 /// Longest time from the look at the lease to the arrival of a grant; without processor time it may
 /// be sent after its limit.
-pub const FLIGHT: Duration = Duration::from_millis(800);
+pub const DELIVERY_LIMIT: Duration = Duration::from_millis(800);
 /// Longest time for the answer to a release, which waits for the work on the keys.
 const RELEASE_LIMIT: Duration = Duration::from_millis(2500);
 
 /// Sends orders, and knows where the targets are.
 #[derive(Default)]
-pub struct Courier {
+pub struct CommandSender {
     clients: RefCell<BTreeMap<SocketAddr, Clients>>,
 }
 
@@ -41,10 +41,10 @@
     releases: Rc<Client>,
 }
 
-impl Courier {
+impl CommandSender {
     /// Sends an order to its target, unless this instance is no longer the leader, or `current` says
     /// that it no longer is the keeper's. An order may wait for those before it.
-    pub async fn carry(
+    pub async fn send(
         &self,
         context: &Context,
         order: &Command,
@@ -58,7 +58,7 @@
         let end = match &assignment.owner {
             Some(owner) => {
                 let current = || context.is_leader() && current();
-                self.send(context, order, owner, current).await
+                self.send_to_owner(context, order, owner, current).await
             }
             None => Err(unsent("keys without an owner")),
         };
@@ -68,7 +68,7 @@
         done
     }
 
-    async fn send(
+    async fn send_to_owner(
         &self,
         context: &Context,
         order: &Command,
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -5,9 +5,9 @@
         clock,
         context::Context,
         lead::{
-            courier::{self, Courier},
-            recorder,
-            standing::{Standing, standings},
+            assignment_recorder,
+            command_sender::{self, CommandSender},
+            target_status::{TargetStatus, target_statuses},
         },
         peers::{
             beat::{self, Heard, Members},
@@ -67,10 +67,10 @@
 #[derive(Default)]
 pub struct LeaderState {
     /// Services by name.
-    pub services: BTreeMap<Name, Service>,
+    pub services: BTreeMap<Name, ServiceState>,
     /// Time as leader to which the services belong.
-    reign: u64,
-    courier: Rc<Courier>,
+    epoch: u64,
+    command_sender: Rc<CommandSender>,
 }
 
 impl LeaderState {
@@ -78,50 +78,50 @@
     pub fn is_granting(&self) -> bool {
         self.services
             .values()
-            .any(|it| it.keeper.has_grant_in_flight())
+            .any(|it| it.manager.has_grant_in_flight())
     }
 }
 
 /// One divided service as its leader keeps it.
-pub struct Service {
+pub struct ServiceState {
     /// Ownership.
-    pub keeper: AssignmentManager,
+    pub manager: AssignmentManager,
     /// Version of the recorded owners; 0 if there is no row.
-    pub version: u64,
+    pub recorded_version: u64,
     /// Table whose record got no answer, and the version of the leader's row then.
-    pub pending: Option<(AssignmentTable, u64)>,
+    pub unconfirmed_write: Option<(AssignmentTable, u64)>,
     /// Whether a record or the look at one is under way.
-    pub recording: bool,
+    pub is_recording: bool,
     /// When the last record began.
-    pub recorded: Option<Instant>,
+    pub last_recording: Option<Instant>,
     /// When it was taken over.
-    pub begun: Instant,
+    pub started_at: Instant,
     balanced: Instant,
     /// Number of targets while none has a key, and since when it is the same.
     gathered: (usize, Instant),
 }
 
-impl Service {
+impl ServiceState {
     /// Returns whether further targets are awaited before keys get their first owners.
     fn gathers(&mut self, targets: usize, now: Instant) -> bool {
-        if self.version > 0 {
+        if self.recorded_version > 0 {
             return false;
         }
         if targets != self.gathered.0 {
             self.gathered = (targets, now);
         }
         let complete = targets > 0 && now - self.gathered.1 >= GATHERED;
-        !complete && now - self.begun < LONGEST_GATHER
+        !complete && now - self.started_at < LONGEST_GATHER
     }
 }
 
 /// What other instances report.
 #[derive(Debug, Default)]
-pub struct Reports {
+pub struct PeerReports {
     /// Load of keys by service.
-    loads: BTreeMap<Name, KeyLoads>,
+    key_loads: BTreeMap<Name, KeyLoads>,
     /// Average time of targets' answers in milliseconds.
-    paces: BTreeMap<Name, u32>,
+    service_times: BTreeMap<Name, u32>,
     /// Instances that report it.
     pub members: Members,
 }
@@ -130,28 +130,28 @@
 ///
 /// That is `None` while it has not yet taken over what the one before it granted, and while grants
 /// are under way: an instance that is short of processor time may send them late.
-pub fn holds(context: &Context) -> Option<Duration> {
+pub fn remaining_grant_time(context: &Context) -> Option<Duration> {
     let now = Instant::now();
     let state = context.leader_state.borrow();
     if state.is_granting() {
         return None;
     }
-    let current = state.reign == context.election.borrow().epoch();
+    let current = state.epoch == context.election.borrow().epoch();
     let all = divided(context).into_iter();
-    let holds = all.map(|name| Some(state.services.get(&name)?.keeper.remaining_grant_time(now)));
+    let holds = all.map(|name| Some(state.services.get(&name)?.manager.remaining_grant_time(now)));
     let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
     longest.filter(|_| current)
 }
 
-impl Reports {
+impl PeerReports {
     /// Returns the load of a service's keys.
-    pub fn loads(&mut self, service: &Name) -> &mut KeyLoads {
-        self.loads.entry(service.clone()).or_default()
+    pub fn key_loads(&mut self, service: &Name) -> &mut KeyLoads {
+        self.key_loads.entry(service.clone()).or_default()
     }
 }
 
 /// Returns the strongest member but this instance that the store answers.
-pub fn successor(context: &Context) -> Option<Member> {
+pub fn find_successor(context: &Context) -> Option<Member> {
     let own = context.settings.listen.heartbeats;
     let reports = context.peer_reports.borrow();
     let able = reports.members.iter();
@@ -164,7 +164,7 @@
 }
 
 /// Counts the members that the former leader told, so that they hear of the new one at once.
-pub fn take_members(context: &Context) {
+pub fn add_known_members(context: &Context) {
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
     for member in context.membership.borrow().members() {
@@ -178,7 +178,7 @@
 }
 
 /// Takes the load of keys that another instance reports.
-pub fn report(context: &Context, from: SocketAddr, report: Report) {
+pub fn apply_report(context: &Context, from: SocketAddr, report: Report) {
     let mut reports = context.peer_reports.borrow_mut();
     let heard = Heard {
         weight: report.weight,
@@ -186,9 +186,9 @@
         at: Instant::now(),
     };
     reports.members.insert(from, heard);
-    reports.paces.extend(report.paces);
+    reports.service_times.extend(report.paces);
     for (service, keys) in report.keys {
-        let loads = reports.loads.entry(service).or_default();
+        let loads = reports.key_loads.entry(service).or_default();
         for (key, requests) in keys {
             loads.add_requests(key, f64::from(requests));
         }
@@ -196,18 +196,18 @@
 }
 
 /// Acts as leader whenever this instance is.
-pub async fn keep(context: Rc<Context>) {
+pub async fn run(context: Rc<Context>) {
     let state = context.leader_state.clone();
     let mut beaten = Instant::now();
     let mut told = Known::default();
     loop {
         // Either the tick is over or there is something to do.
         let _ = timeout(TICK, context.leader_work.notified()).await;
-        let reign = context.election.borrow().epoch();
-        if state.borrow().reign != reign {
+        let epoch = context.election.borrow().epoch();
+        if state.borrow().epoch != epoch {
             let mut state = state.borrow_mut();
             state.services.clear();
-            state.reign = reign;
+            state.epoch = epoch;
         }
         if !context.is_leader() || context.leader_since.get().is_none() {
             // Without duties there is nothing to look at so often.
@@ -266,7 +266,7 @@
 fn turn(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
     adopt(context, state, name);
     let now = Instant::now();
-    let all = standings(context, name);
+    let all = target_statuses(context, name);
     let capacity = capacity(context, &all);
     {
         let mut state = state.borrow_mut();
@@ -278,18 +278,18 @@
         }
         let candidates = all.iter().map(|(id, it)| {
             let candidate = Candidate {
-                incarnation: it.born,
-                can_own: it.open,
+                incarnation: it.incarnation,
+                can_own: it.can_own,
             };
             (id.clone(), candidate)
         });
-        service.keeper.review_owners(&candidates.collect(), now);
+        service.manager.review_owners(&candidates.collect(), now);
         for life in replaced(context, service) {
-            service.keeper.mark_ended(&life, now);
+            service.manager.mark_ended(&life, now);
         }
         spread(context, service, name, &capacity);
     }
-    recorder::start(context, state, name, all, capacity);
+    assignment_recorder::start(context, state, name, all, capacity);
     send(context, state, name);
 }
 
@@ -312,15 +312,15 @@
         renewal_interval: RENEWAL,
         slow_renewal: SLOW_RENEWAL,
         retry_delay: RETRY,
-        delivery_limit: courier::FLIGHT,
+        delivery_limit: command_sender::DELIVERY_LIMIT,
     };
-    let service = Service {
-        keeper: AssignmentManager::new(&table, timing, context.previous_leaders(), now),
-        version: owners.map_or(0, |it| it.version),
-        pending: None,
-        recording: false,
-        recorded: None,
-        begun: now,
+    let service = ServiceState {
+        manager: AssignmentManager::new(&table, timing, context.previous_leaders(), now),
+        recorded_version: owners.map_or(0, |it| it.version),
+        unconfirmed_write: None,
+        is_recording: false,
+        last_recording: None,
+        started_at: now,
         balanced: now,
         gathered: (0, now),
     };
@@ -328,22 +328,26 @@
 }
 
 /// Returns what the targets that may get keys can do; cold ones only where there is no other.
-fn capacity(context: &Context, all: &BTreeMap<Name, Standing>) -> TargetCapacities {
+fn capacity(context: &Context, all: &BTreeMap<Name, TargetStatus>) -> TargetCapacities {
     let mut reports = context.peer_reports.borrow_mut();
     let targets = context.targets.borrow();
-    reports.paces.retain(|id, _| targets.get(id).is_some());
-    let paces: Vec<u32> = all
+    reports
+        .service_times
+        .retain(|id, _| targets.get(id).is_some());
+    let service_times: Vec<u32> = all
         .keys()
-        .filter_map(|id| reports.paces.get(id).copied())
+        .filter_map(|id| reports.service_times.get(id).copied())
         .collect();
-    let usual = f64::from(paces.iter().sum::<u32>()) / paces.len().max(1) as f64;
-    let speed = |id: &Name| match reports.paces.get(id) {
+    let usual = f64::from(service_times.iter().sum::<u32>()) / service_times.len().max(1) as f64;
+    let speed = |id: &Name| match reports.service_times.get(id) {
         Some(pace) => (usual / f64::from(*pace).max(1.0)).clamp(SLOWEST, FASTEST),
         None => 1.0,
     };
     let slots = |id: &Name| targets.get(id).map_or(1, |it| it.target.slots) as f64;
     let open = |cold: bool| {
-        let chosen = all.iter().filter(move |(_, it)| it.open && it.cold == cold);
+        let chosen = all
+            .iter()
+            .filter(move |(_, it)| it.can_own && it.is_cold == cold);
         chosen
             .map(|(id, _)| (id.clone(), slots(id) * speed(id)))
             .collect::<TargetCapacities>()
@@ -355,12 +359,12 @@
 /// Returns the owners that are not listed and whose address belongs to a target that started later.
 ///
 /// An address is given to another target only some time after the process that had it has ended.
-fn replaced(context: &Context, service: &Service) -> Vec<TargetIncarnation> {
+fn replaced(context: &Context, service: &ServiceState) -> Vec<TargetIncarnation> {
     let targets = context.targets.borrow();
-    let owners = service.keeper.owners().into_iter();
+    let owners = service.manager.owners().into_iter();
     let unlisted: Vec<&TargetIncarnation> = owners
         .filter(|life| targets.get(&life.id).is_none())
-        .filter(|life| !service.keeper.ended_incarnations().contains(life))
+        .filter(|life| !service.manager.ended_incarnations().contains(life))
         .collect();
     if unlisted.is_empty() {
         return Vec::new();
@@ -378,9 +382,9 @@
 }
 
 /// Begins transfers that make the loads more even.
-fn spread(context: &Context, service: &mut Service, name: &Name, capacity: &TargetCapacities) {
+fn spread(context: &Context, service: &mut ServiceState, name: &Name, capacity: &TargetCapacities) {
     let now = Instant::now();
-    service.keeper.split_evenly(capacity.len() as u32);
+    service.manager.split_evenly(capacity.len() as u32);
     if now - service.balanced < BALANCE {
         return;
     }
@@ -390,23 +394,23 @@
         .election
         .borrow()
         .is_store_writable(clock::local_time());
-    if !writes || service.pending.is_some() {
+    if !writes || service.unconfirmed_write.is_some() {
         return;
     }
     let mut reports = context.peer_reports.borrow_mut();
-    let loads = reports.loads(name);
+    let loads = reports.key_loads(name);
     loads.decay(now);
     let transfers = rebalance(
-        &service.keeper.table(),
+        &service.manager.table(),
         loads,
         capacity,
         transfers(capacity.len()),
-        |piece| !service.keeper.is_settled(piece.first),
+        |piece| !service.manager.is_settled(piece.first),
     );
     for transfer in transfers {
         let (first, last) = (transfer.first, transfer.last);
         service
-            .keeper
+            .manager
             .start_transfer(first, last, &transfer.new_owner, now);
     }
 }
@@ -427,22 +431,26 @@
     let Some(service) = own.services.get_mut(name) else {
         return;
     };
-    let begun = service.begun;
-    for order in service.keeper.next_commands(strained, Instant::now()) {
+    let begun = service.started_at;
+    for order in service.manager.next_commands(strained, Instant::now()) {
         let (context, state, name) = (context.clone(), state.clone(), name.clone());
         spawn_local(async move {
             let sent = Instant::now();
-            let courier = state.borrow().courier.clone();
+            let command_sender = state.borrow().command_sender.clone();
             let current = || {
                 let services = &state.borrow().services;
-                services.get(&name).is_some_and(|it| it.begun == begun)
+                services.get(&name).is_some_and(|it| it.started_at == begun)
             };
-            let done = courier.carry(&context, &order, current).await;
+            let done = command_sender.send(&context, &order, current).await;
             let mut state = state.borrow_mut();
             // The orders of an earlier time as leader are not this keeper's.
-            if let Some(service) = state.services.get_mut(&name).filter(|it| it.begun == begun) {
+            if let Some(service) = state
+                .services
+                .get_mut(&name)
+                .filter(|it| it.started_at == begun)
+            {
                 service
-                    .keeper
+                    .manager
                     .handle_outcome(&order, done, sent, Instant::now());
             }
             context.leader_work.notify_one();
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -6,8 +6,8 @@
         context::{AssignmentChange, Context, HEARTBEAT_TIMEOUT, LEASE_TTL, RecordedAssignments},
         events,
         lead::{
-            courier, keep,
-            record::{self, OWNERS_PREFIX, WireTable},
+            assignment_rows::{self, AssignmentRowValue, OWNERS_PREFIX},
+            command_sender, leader_loop,
         },
         peers::{datagram, membership, message::Message},
     },
@@ -77,11 +77,11 @@
 
 /// How a record of owners ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recorded {
+pub enum RecordingOutcome {
     /// It is in the store.
-    Done,
+    Recorded,
     /// It is not, and will not be.
-    Refused,
+    NotRecorded,
     /// It may be there, or come there as long as the leader's row keeps its version.
     Unknown,
 }
@@ -105,7 +105,7 @@
 
     async fn read(&mut self, context: &Context) {
         self.at = Instant::now();
-        let answered = refresh(context).await;
+        let answered = refresh_router_table(context).await;
         self.pause = match answered {
             true => URGENT,
             false => (2 * self.pause).min(LONGEST_PAUSE),
@@ -114,7 +114,7 @@
 }
 
 /// Looks after the leader's row for ever.
-pub async fn hold(context: Rc<Context>) {
+pub async fn maintain(context: Rc<Context>) {
     let begun = Instant::now();
     let mut reads = Reads {
         at: begun,
@@ -202,7 +202,7 @@
         return false;
     }
     let own = membership::weight(context.settings.cpu);
-    let successor = keep::successor(context);
+    let successor = leader_loop::find_successor(context);
     let stronger = successor.is_some_and(|it| it.weight >= own.saturating_mul(STRONGER));
     if stronger {
         give_up(context, "handed over to a stronger one").await;
@@ -211,7 +211,7 @@
 }
 
 /// Reads the project's own rows; returns whether the store answered.
-pub async fn refresh(context: &Context) -> bool {
+pub async fn refresh_router_table(context: &Context) -> bool {
     let _one = context.write_lock.lock().await;
     let sent = clock::local_time();
     let read = context.router_store.read_table(ROUTER_TABLE, LIMIT).await;
@@ -263,7 +263,10 @@
 /// said when it gave its row up, or else that of a grant sent at the end of its lease.
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
-    let longest = max_grant_lifetime(context.bounds.borrow().max_ttl, courier::FLIGHT);
+    let longest = max_grant_lifetime(
+        context.bounds.borrow().max_ttl,
+        command_sender::DELIVERY_LIMIT,
+    );
     said.or_else(|| Some(Duration::from_millis(row.told?) + LEASE_TTL + longest))
 }
 
@@ -310,7 +313,7 @@
     row: &Row,
     all: &[Row],
 ) -> Result<(AssignmentTable, Vec<(TargetIncarnation, SocketAddr)>), String> {
-    let wire = record::read(service, row, all)?;
+    let wire = assignment_rows::decode(service, row, all)?;
     let addresses = wire.addresses();
     let table = AssignmentTable::try_from(wire).map_err(str::to_owned)?;
     Ok((table, addresses))
@@ -338,14 +341,14 @@
 
 /// Begins to act as leader once the owners are known that the former leader recorded last.
 async fn begin(context: &Context) {
-    if !refresh(context).await || !context.is_leader() {
+    if !refresh_router_table(context).await || !context.is_leader() {
         return;
     }
     context
         .leader_address
         .set(Some(context.settings.listen.heartbeats));
     context.leader_since.set(Some(Instant::now()));
-    keep::take_members(context);
+    leader_loop::add_known_members(context);
     let version = context.election.borrow().row_version();
     context.record_event(events::LEADERSHIP_GAINED, format!("version {version}"));
     context.leader_work.notify_one();
@@ -398,21 +401,21 @@
 }
 
 /// Records owners under the condition that this instance still is the leader.
-pub async fn record(
+pub async fn record_assignments(
     context: &Context,
     service: &Name,
     before: u64,
     table: &AssignmentTable,
-) -> Recorded {
+) -> RecordingOutcome {
     let one = context.write_lock.lock().await;
     if !context.is_leader() {
-        return Recorded::Refused;
+        return RecordingOutcome::NotRecorded;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
     let held = context.election.borrow().row_version();
-    let wire = WireTable::new(table, |life| context.target_address(life));
-    let Ok(mut puts) = record::rows(service, &wire) else {
-        return Recorded::Refused;
+    let wire = AssignmentRowValue::new(table, |life| context.target_address(life));
+    let Ok(mut puts) = assignment_rows::encode(service, &wire) else {
+        return RecordingOutcome::NotRecorded;
     };
     let sent = clock::local_time();
     let said = said(context, sent);
@@ -425,11 +428,11 @@
     match end {
         Ok(CommitOutcome::Committed { version, .. }) => {
             took_effect(context, service, (before, version), table);
-            Recorded::Done
+            RecordingOutcome::Recorded
         }
-        Ok(CommitOutcome::Conflict(_)) => Recorded::Unknown,
-        Err(error) if error.is_outcome_unknown() => Recorded::Unknown,
-        Err(_) => Recorded::Refused,
+        Ok(CommitOutcome::Conflict(_)) => RecordingOutcome::Unknown,
+        Err(error) if error.is_outcome_unknown() => RecordingOutcome::Unknown,
+        Err(_) => RecordingOutcome::NotRecorded,
     }
 }
 
@@ -483,7 +486,7 @@
         Err(error) => format!("{why}, row not written: {error}"),
     };
     context.record_event(events::LEADERSHIP_LOST, detail);
-    if let Some(successor) = keep::successor(context) {
+    if let Some(successor) = leader_loop::find_successor(context) {
         datagram::send_now(context, &Message::Lead, successor.address);
     }
 }
@@ -498,7 +501,7 @@
 /// Returns the time of the store's clock after which none of this leader's grants is in force, if
 /// that is known.
 fn granted(context: &Context) -> Option<Duration> {
-    Some(context.store_time_bound()?.latest + keep::holds(context)?)
+    Some(context.store_time_bound()?.latest + leader_loop::remaining_grant_time(context)?)
 }
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
--- a/crates/cowslipcross/src/lead/standing.rs
+++ b/crates/cowslipcross/src/lead/target_status.rs
@@ -9,26 +9,26 @@
 
 /// Whether a target may own keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct TargetStatus {
     /// Its present run.
-    pub born: u64,
+    pub incarnation: u64,
     /// Whether it neither leaves nor is in a withdrawn data centre.
-    pub open: bool,
+    pub can_own: bool,
     /// Whether it is cold.
-    pub cold: bool,
+    pub is_cold: bool,
 }
 
 /// Returns the targets of a service with their standing.
-pub fn standings(context: &Context, service: &str) -> BTreeMap<Name, Standing> {
+pub fn target_statuses(context: &Context, service: &str) -> BTreeMap<Name, TargetStatus> {
     let now = Instant::now();
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     let standing = |seen: &Seen| {
         let target = &seen.target;
-        let standing = Standing {
-            born: target.incarnation,
-            open: seen.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
-            cold: seen.is_cold(now),
+        let standing = TargetStatus {
+            incarnation: target.incarnation,
+            can_own: seen.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
+            is_cold: seen.is_cold(now),
         };
         (target.id.clone(), standing)
     };
--- a/crates/cowslipcross/src/peers/beat.rs
+++ b/crates/cowslipcross/src/peers/beat.rs
@@ -5,7 +5,7 @@
         clock,
         context::Context,
         events::HybridTimestamp,
-        lead::keep,
+        lead::leader_loop,
         peers::{
             datagram,
             membership::{self, Member, Membership},
@@ -77,7 +77,7 @@
         .observe_timestamp(HybridTimestamp::from(report.stamp));
     context.update_reported_version(report.config);
     let known = report.membership == context.membership.borrow().hash();
-    keep::report(context, from, report);
+    leader_loop::apply_report(context, from, report);
     if context.is_leader() && !known {
         let text = context.membership.borrow().text();
         datagram::send_now(context, &Message::Members(text), from);
--- a/crates/cowslipcross/src/shutdown.rs
+++ b/crates/cowslipcross/src/shutdown.rs
@@ -4,7 +4,7 @@
     crate::{
         context::Context,
         events::{self, EventFields},
-        lead::seat,
+        lead::leader_row,
         serve::entry::Conns,
     },
     std::time::Duration,
@@ -36,7 +36,7 @@
     context
         .events
         .record(events::SHUTDOWN_STARTED, EventFields::default());
-    seat::resign(context).await;
+    leader_row::resign(context).await;
     sleep_until(end.min(begun + ACCEPTING)).await;
     accepting.abort();
     conns.close();
