--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -1,4 +1,5 @@
-//! Records of owners, beside the orders to targets: these must not wait for the store.
+//! Records assignments in the store, concurrently with the commands to targets, which must not wait
+//! for the store.
 
 use {
     crate::{
@@ -18,127 +19,138 @@
     tokio::{task::spawn_local, time::Instant},
 };
 
-/// Shortest time between two records: what comes meanwhile goes into one write.
-const SPACING: Duration = Duration::from_millis(90);
+/// Shortest time between two writes; changes that come up meanwhile share the next one.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(90);
 
-/// One service of the state, as it was taken over at a moment.
-struct Task {
+/// Recording of one service's assignments.
+struct RecordingTask {
     context: Rc<Context>,
     state: Rc<RefCell<LeaderState>>,
     name: Name,
-    begun: Instant,
+    /// Identifies the [`ServiceState`] for which the task was started.
+    started_at: Instant,
 }
 
-/// Records new owners and fences where keys wait for them, unless that is under way.
+/// Starts to record new owners, fences and expiries if any wait for it and no recording is running.
 pub fn start(
     context: &Rc<Context>,
     state: &Rc<RefCell<LeaderState>>,
     name: &Name,
-    all: BTreeMap<Name, TargetStatus>,
-    capacity: TargetCapacities,
+    statuses: BTreeMap<Name, TargetStatus>,
+    capacities: TargetCapacities,
 ) {
-    let mut open = state.borrow_mut();
-    let Some(service) = open.services.get_mut(name) else {
+    let mut leader_state = state.borrow_mut();
+    let Some(service) = leader_state.services.get_mut(name) else {
         return;
     };
-    let wanted =
+    let is_needed =
         service.unconfirmed_write.is_some() || service.manager.needs_recording(Instant::now());
-    let spaced = service
+    let is_due = service
         .last_recording
-        .is_none_or(|at| at.elapsed() >= SPACING);
-    if service.is_recording || !wanted || !spaced {
+        .is_none_or(|at| at.elapsed() >= MIN_WRITE_INTERVAL);
+    if service.is_recording || !is_needed || !is_due {
         return;
     }
     service.is_recording = true;
     service.last_recording = Some(Instant::now());
-    let task = Task {
+    let task = RecordingTask {
         context: context.clone(),
         state: state.clone(),
         name: name.clone(),
-        begun: service.started_at,
+        started_at: service.started_at,
     };
     spawn_local(async move {
-        if task.settled().await && task.record(&all, &capacity).await {
+        if task.resolve_unconfirmed_write().await && task.record(&statuses, &capacities).await {
             task.context.leader_work.notify_one();
         }
-        task.with(|service| service.is_recording = false);
+        task.with_service(|service| service.is_recording = false);
     });
 }
 
-impl Task {
-    /// Does something with the service, unless it was given up or taken over anew meanwhile.
-    fn with<T>(&self, work: impl FnOnce(&mut ServiceState) -> T) -> Option<T> {
+impl RecordingTask {
+    /// Runs `work` on the service's state; returns `None` if that state no longer exists.
+    fn with_service<T>(&self, work: impl FnOnce(&mut ServiceState) -> T) -> Option<T> {
         let mut state = self.state.borrow_mut();
         let service = state.services.get_mut(&self.name);
-        service.filter(|it| it.started_at == self.begun).map(work)
+        service
+            .filter(|it| it.started_at == self.started_at)
+            .map(work)
     }
 
-    /// Finds out whether a record without an answer is in the store; returns whether that is known.
+    /// Finds out whether an unconfirmed write is in the store; returns whether a new write may follow.
     ///
-    /// A renewal of the leader's row comes first: after it the lost write cannot be carried out.
-    async fn settled(&self) -> bool {
-        let Some(pending) = self.with(|service| service.unconfirmed_write.clone()) else {
+    /// It first waits for a renewal of the leader's row: the lost write was conditional on the row's
+    /// former version, so it can no longer be carried out afterwards.
+    async fn resolve_unconfirmed_write(&self) -> bool {
+        let Some(unconfirmed) = self.with_service(|service| service.unconfirmed_write.clone())
+        else {
             return false;
         };
-        let Some((table, lost)) = pending else {
+        let Some((table, row_version)) = unconfirmed else {
             return true;
         };
         let renewed =
-            self.context.election.borrow().row_version() > lost && self.context.is_leader();
-        renewed && leader_row::refresh_router_table(&self.context).await && self.settle(&table)
+            self.context.election.borrow().row_version() > row_version && self.context.is_leader();
+        renewed
+            && leader_row::refresh_router_table(&self.context).await
+            && self.compare_with_store(&table)
     }
 
-    /// Compares the record without an answer with what the store has.
-    fn settle(&self, pending: &AssignmentTable) -> bool {
-        let owners = self.context.owners.borrow().get(&self.name).cloned();
-        let version = owners.as_ref().map_or(0, |it| it.version);
-        let written = owners.is_some_and(|it| *it.table == *pending);
-        let known = self.with(|service| {
-            if version > service.recorded_version && !written {
+    /// Compares the unconfirmed table with the one read from the store; returns whether the store has
+    /// either this table or the one before it. If it has any other, the service's state is dropped.
+    fn compare_with_store(&self, unconfirmed: &AssignmentTable) -> bool {
+        let stored = self.context.owners.borrow().get(&self.name).cloned();
+        let version = stored.as_ref().map_or(0, |it| it.version);
+        let is_written = stored.is_some_and(|it| *it.table == *unconfirmed);
+        let resolved = self.with_service(|service| {
+            if version > service.recorded_version && !is_written {
                 return false;
             }
             if version > service.recorded_version {
-                service.manager.apply_recorded(pending, Instant::now());
+                service.manager.apply_recorded(unconfirmed, Instant::now());
                 service.recorded_version = version;
             }
             service.unconfirmed_write = None;
             true
         });
-        if known == Some(false) {
-            // This leader's own grants may be in force for owners that the found table lacks.
+        if resolved == Some(false) {
+            // This leader's own grants may be in force for owners that the stored table lacks.
             self.context.grants_expire.set(None);
             self.state.borrow_mut().services.remove(&self.name);
         }
-        known.unwrap_or(false)
+        resolved.unwrap_or(false)
     }
 
-    /// Records what waits for it; returns whether something was recorded.
+    /// Records the changes that wait for it; returns whether the manager has applied a record.
     async fn record(
         &self,
-        all: &BTreeMap<Name, TargetStatus>,
-        capacity: &TargetCapacities,
+        statuses: &BTreeMap<Name, TargetStatus>,
+        capacities: &TargetCapacities,
     ) -> bool {
-        let proposal =
-            self.with(|service| proposal(&self.context, service, &self.name, all, capacity));
+        let proposal = self.with_service(|service| {
+            propose_table(&self.context, service, &self.name, statuses, capacities)
+        });
         let Some((version, table)) = proposal.flatten() else {
             return false;
         };
         match leader_row::record_assignments(&self.context, &self.name, version, &table).await {
-            RecordingOutcome::Recorded => self.recorded(&table),
+            RecordingOutcome::Recorded => self.apply_recorded(&table),
             RecordingOutcome::NotRecorded => false,
             RecordingOutcome::Unknown => {
-                let lost = self.context.election.borrow().row_version();
-                self.with(|service| service.unconfirmed_write = Some((table, lost)));
+                let row_version = self.context.election.borrow().row_version();
+                self.with_service(|service| {
+                    service.unconfirmed_write = Some((table, row_version));
+                });
                 false
             }
         }
     }
 
-    fn recorded(&self, table: &AssignmentTable) -> bool {
+    fn apply_recorded(&self, table: &AssignmentTable) -> bool {
         let owners = self.context.owners.borrow();
         let version = owners.get(&self.name).map_or(0, |it| it.version);
         drop(owners);
-        let known = self.with(|service| {
+        let applied = self.with_service(|service| {
             service.manager.apply_recorded(table, Instant::now());
             service.recorded_version = version;
         });
@@ -146,56 +158,63 @@
         self.context
             .record_event(events::ASSIGNMENTS_RECORDED, detail);
         self.context.routing_changed.notify_waiters();
-        known.is_some()
+        applied.is_some()
     }
 }
 
-/// Returns the owners to record next, with the version that they replace.
-fn proposal(
+/// Returns the table to record next, with the recorded version that it replaces; `None` if nothing
+/// has to be recorded.
+fn propose_table(
     context: &Context,
     service: &ServiceState,
     name: &Name,
-    all: &BTreeMap<Name, TargetStatus>,
-    capacity: &TargetCapacities,
+    statuses: &BTreeMap<Name, TargetStatus>,
+    capacities: &TargetCapacities,
 ) -> Option<(u64, AssignmentTable)> {
-    let (ended, silent) = (
+    let (ended, unanswered) = (
         service.manager.ended_incarnations(),
         service.manager.unanswered_owners(),
     );
-    let lives = all.iter().map(|(id, standing)| TargetIncarnation {
+    let incarnations = statuses.iter().map(|(id, status)| TargetIncarnation {
         id: id.clone(),
-        incarnation: standing.incarnation,
+        incarnation: status.incarnation,
     });
-    let lives = lives.filter(|life| !ended.contains(life) && !silent.contains(&life.id));
-    let lives: BTreeMap<Name, TargetIncarnation> =
-        lives.map(|life| (life.id.clone(), life)).collect();
+    let incarnations =
+        incarnations.filter(|it| !ended.contains(it) && !unanswered.contains(&it.id));
+    let incarnations: BTreeMap<Name, TargetIncarnation> =
+        incarnations.map(|it| (it.id.clone(), it)).collect();
     let mut reports = context.peer_reports.borrow_mut();
-    let loads = reports.key_loads(name);
-    let sums = sums(&service.manager.table(), loads);
-    let open = capacity.iter().filter(|(id, _)| lives.contains_key(*id));
-    let mut least = TargetsByLoad::new(open, &sums);
+    let key_loads = reports.key_loads(name);
+    let target_loads = target_loads(&service.manager.table(), key_loads);
+    let candidates = capacities
+        .iter()
+        .filter(|(id, _)| incarnations.contains_key(*id));
+    let mut by_load = TargetsByLoad::new(candidates, &target_loads);
     let table = service
         .manager
-        .propose_table(context.store_time_bound(), |piece, wish| {
-            let wish = wish.filter(|wish| capacity.contains_key(*wish));
-            let chosen = match wish.and_then(|wish| lives.get(wish)) {
-                Some(life) => life,
-                None => lives.get(least.least_loaded()?)?,
+        .propose_table(context.store_time_bound(), |assignment, wanted| {
+            let wanted = wanted.filter(|wanted| capacities.contains_key(*wanted));
+            let chosen = match wanted.and_then(|wanted| incarnations.get(wanted)) {
+                Some(incarnation) => incarnation,
+                None => incarnations.get(by_load.least_loaded()?)?,
             };
-            least.add_load(&chosen.id, loads.range_load(piece.first, piece.last));
+            by_load.add_load(
+                &chosen.id,
+                key_loads.range_load(assignment.first, assignment.last),
+            );
             Some(chosen.clone())
         });
     table.map(|table| (service.recorded_version, table))
 }
 
-/// Returns the load of each target by the keys that it owns.
-fn sums(table: &AssignmentTable, loads: &KeyLoads) -> BTreeMap<Name, f64> {
-    let mut sums = BTreeMap::new();
-    for piece in &table.assignments {
-        if let Some(owner) = &piece.owner {
-            let load = loads.range_load(piece.first, piece.last);
-            *sums.entry(owner.id.clone()).or_default() += load;
+/// Returns the load of each target as the sum over the keys that it owns.
+fn target_loads(table: &AssignmentTable, key_loads: &KeyLoads) -> BTreeMap<Name, f64> {
+    let mut loads = BTreeMap::new();
+    for assignment in &table.assignments {
+        if let Some(owner) = &assignment.owner {
+            let load = key_loads.range_load(assignment.first, assignment.last);
+            *loads.entry(owner.id.clone()).or_default() += load;
         }
     }
-    sums
+    loads
 }
--- a/crates/cowslipcross/src/lead/assignment_rows.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows.rs
@@ -1,4 +1,5 @@
-//! Owners of keys as the store keeps them: a row has a limit, so owners are named once.
+//! JSON format of the rows that contain a service's assignments. It is compact, and split over
+//! several rows if necessary, because the store limits the size of a row.
 
 use {
     cowslip_adapter::store::{Row, RowWrite},
@@ -10,128 +11,144 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Prefix of the keys of the rows with the owners of a service's keys.
+/// Key prefix of the row with the assignments of a service.
 pub const OWNERS_PREFIX: &str = "owners/";
-/// Prefix of the keys of the parts of such a row that would be too long.
+/// Key prefix of the rows with the parts of a value that is too long for one row.
 const PARTS_PREFIX: &str = "parts/";
-/// Longest value of a row, in bytes; the store bounds its text form, which is a third longer.
-const LONGEST: usize = 45_000;
+/// Longest value of a row; the store limits the base64 form, which is a third longer.
+const MAX_VALUE_BYTES: usize = 45_000;
 
-/// Value of a row whose content is in parts.
+/// Value of a service's row when the assignments are in parts.
 #[derive(Serialize, Deserialize)]
-struct WireParts {
-    /// Number of the parts.
-    parts: usize,
+struct MultipartValue {
+    /// Number of parts.
+    #[serde(rename = "parts")]
+    part_count: usize,
 }
 
-/// Returns the rows for owners of a service: one, or one that names parts.
+/// Returns the rows for the assignments of a service: one row, or the parts and then the row that
+/// refers to them.
 ///
 /// # Errors
-/// Fails if the owners have no JSON form.
-pub fn encode(service: &str, wire: &AssignmentRowValue) -> serde_json::Result<Vec<RowWrite>> {
-    let value = serde_json::to_vec(wire)?;
+/// Fails if the value cannot be serialised.
+pub fn encode(
+    service: &str,
+    assignments: &AssignmentRowValue,
+) -> serde_json::Result<Vec<RowWrite>> {
+    let value = serde_json::to_vec(assignments)?;
     let key = format!("{OWNERS_PREFIX}{service}");
-    if value.len() <= LONGEST {
+    if value.len() <= MAX_VALUE_BYTES {
         return Ok(vec![RowWrite { key, value }]);
     }
     let parts = value
-        .chunks(LONGEST)
+        .chunks(MAX_VALUE_BYTES)
         .zip(0..)
         .map(|(part, number)| RowWrite {
             key: part_key(service, number),
             value: part.to_vec(),
         });
     let mut rows: Vec<RowWrite> = parts.collect();
-    let parts = WireParts { parts: rows.len() };
-    let value = serde_json::to_vec(&parts)?;
+    let multipart = MultipartValue {
+        part_count: rows.len(),
+    };
+    let value = serde_json::to_vec(&multipart)?;
     rows.push(RowWrite { key, value });
     Ok(rows)
 }
 
-/// Reads owners from their row and its parts, which all were read at one moment.
+/// Decodes the assignments of a service from their row; `all_rows` is the same snapshot of the table
+/// and contains the parts.
 ///
 /// # Errors
-/// Says what is wrong with them.
-pub fn decode(service: &str, row: &Row, all: &[Row]) -> Result<AssignmentRowValue, String> {
+/// Says what is invalid or which part is missing.
+pub fn decode(service: &str, row: &Row, all_rows: &[Row]) -> Result<AssignmentRowValue, String> {
     let value = row.value.as_deref().unwrap_or_default();
-    let said = |error: serde_json::Error| error.to_string();
-    let Ok(WireParts { parts }) = serde_json::from_slice(value) else {
-        return serde_json::from_slice(value).map_err(said);
+    let describe = |error: serde_json::Error| error.to_string();
+    let Ok(MultipartValue { part_count }) = serde_json::from_slice(value) else {
+        return serde_json::from_slice(value).map_err(describe);
     };
-    let mut whole = Vec::new();
-    for number in 0..parts {
+    let mut joined = Vec::new();
+    for number in 0..part_count {
         let key = part_key(service, number);
-        let part = all.iter().find(|it| it.key == key);
+        let part = all_rows.iter().find(|it| it.key == key);
         let part = part.and_then(|it| it.value.as_deref());
-        whole.extend(part.ok_or_else(|| format!("part {number} is missing"))?);
+        joined.extend(part.ok_or_else(|| format!("part {number} is missing"))?);
     }
-    serde_json::from_slice(&whole).map_err(said)
+    serde_json::from_slice(&joined).map_err(describe)
 }
 
 fn part_key(service: &str, number: usize) -> String {
     format!("{PARTS_PREFIX}{service}/{number:03}")
 }
 
-/// Owners of a service's keys as a row has them.
+/// Assignments of a service as they are stored. Owners are listed once and referred to by index.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AssignmentRowValue {
-    /// Owners: id and time of the start.
+    /// Owners: id and incarnation.
     #[serde(rename = "o")]
     owners: Vec<(Name, u64)>,
-    /// Last known addresses of the owners, in their order: a report may lapse while its target lives.
+    /// Last known address of each owner, in the same order. A new leader needs them for owners whose
+    /// report has lapsed although they still run.
     #[serde(rename = "a", default)]
     addresses: Vec<Option<SocketAddr>>,
-    /// Pieces, each up to the next one: first key, place of the owner, fence.
+    /// Assignments, each up to the next one: first key, index of the owner, fence.
     #[serde(rename = "p")]
-    pieces: Vec<(u16, Option<usize>, u64)>,
-    /// Highest fence that was given out.
+    assignments: Vec<(u16, Option<usize>, u64)>,
+    /// Highest fence assigned so far.
     #[serde(rename = "f")]
-    fence: u64,
-    /// Milliseconds of the store's clock after which the owner of a piece holds it no more, by the
-    /// first key of the piece, where that is known.
+    highest_fence: u64,
+    /// Time of the store's clock in milliseconds at which the owner's last grant has expired, by the
+    /// first key of the assignment; only where that is known.
     #[serde(rename = "e", default, skip_serializing_if = "BTreeMap::is_empty")]
-    ends: BTreeMap<u16, u64>,
+    expiries: BTreeMap<u16, u64>,
 }
 
 impl AssignmentRowValue {
-    /// Returns a table with the addresses of its owners, as far as they are known.
+    /// Creates the stored form of a table; `find_address` returns an owner's last known address.
     pub fn new(
         table: &AssignmentTable,
-        address: impl Fn(&TargetIncarnation) -> Option<SocketAddr>,
+        find_address: impl Fn(&TargetIncarnation) -> Option<SocketAddr>,
     ) -> Self {
-        let mut places: BTreeMap<&TargetIncarnation, usize> = BTreeMap::new();
+        let mut indices: BTreeMap<&TargetIncarnation, usize> = BTreeMap::new();
         let mut owners = Vec::new();
         let mut addresses = Vec::new();
-        let mut place = |life| {
-            *places.entry(life).or_insert_with(|| {
-                owners.push((life.id.clone(), life.incarnation));
-                addresses.push(address(life));
+        let mut owner_index = |owner| {
+            *indices.entry(owner).or_insert_with(|| {
+                owners.push((owner.id.clone(), owner.incarnation));
+                addresses.push(find_address(owner));
                 owners.len() - 1
             })
         };
-        let pieces = table.assignments.iter();
-        let pieces = pieces.map(|it| (it.first, it.owner.as_ref().map(&mut place), it.fence.0));
-        let pieces = pieces.collect();
-        let ends = table.assignments.iter();
-        let ends = ends.filter_map(|it| Some((it.first, it.expires_at?.as_millis() as u64)));
+        let assignments = table.assignments.iter();
+        let assignments = assignments.map(|it| {
+            (
+                it.first,
+                it.owner.as_ref().map(&mut owner_index),
+                it.fence.0,
+            )
+        });
+        let assignments = assignments.collect();
+        let expiries = table.assignments.iter();
+        let expiries =
+            expiries.filter_map(|it| Some((it.first, it.expires_at?.as_millis() as u64)));
         Self {
-            pieces,
+            assignments,
             owners,
             addresses,
-            fence: table.highest_fence.0,
-            ends: ends.collect(),
+            highest_fence: table.highest_fence.0,
+            expiries: expiries.collect(),
         }
     }
 
-    /// Returns the owners with their last known addresses.
+    /// Returns the owners whose address is known, with that address.
     pub fn addresses(&self) -> Vec<(TargetIncarnation, SocketAddr)> {
         let known = self.owners.iter().zip(&self.addresses);
-        let known = known.filter_map(|((id, born), address)| {
-            let life = TargetIncarnation {
+        let known = known.filter_map(|((id, incarnation), address)| {
+            let owner = TargetIncarnation {
                 id: id.clone(),
-                incarnation: *born,
+                incarnation: *incarnation,
             };
-            Some((life, (*address)?))
+            Some((owner, (*address)?))
         });
         known.collect()
     }
@@ -140,41 +157,51 @@
 impl TryFrom<AssignmentRowValue> for AssignmentTable {
     type Error = &'static str;
 
-    fn try_from(wire: AssignmentRowValue) -> Result<Self, Self::Error> {
-        let ends = wire
-            .pieces
+    fn try_from(value: AssignmentRowValue) -> Result<Self, Self::Error> {
+        let last_keys = value
+            .assignments
             .iter()
             .skip(1)
             .map(|(first, ..)| first.checked_sub(1));
-        let ends = ends.chain([Some(u16::MAX)]);
-        let piece = |(&(first, place, fence), last): (&(u16, Option<usize>, u64), Option<u16>)| {
-            let owner = match place {
-                None => None,
-                Some(place) => {
-                    let (id, born) = wire.owners.get(place).ok_or("owner that is not named")?;
-                    Some(TargetIncarnation {
-                        id: id.clone(),
-                        incarnation: *born,
-                    })
-                }
+        let last_keys = last_keys.chain([Some(u16::MAX)]);
+        let assignment =
+            |(&(first, owner_index, fence), last): (&(u16, Option<usize>, u64), Option<u16>)| {
+                let owner = match owner_index {
+                    None => None,
+                    Some(index) => {
+                        let (id, incarnation) =
+                            value.owners.get(index).ok_or("owner index out of range")?;
+                        Some(TargetIncarnation {
+                            id: id.clone(),
+                            incarnation: *incarnation,
+                        })
+                    }
+                };
+                Ok(Assignment {
+                    first,
+                    last: last.ok_or("more than one assignment starts at key 0")?,
+                    owner,
+                    fence: Fence(fence),
+                    expires_at: value
+                        .expiries
+                        .get(&first)
+                        .copied()
+                        .map(Duration::from_millis),
+                })
             };
-            Ok(Assignment {
-                first,
-                last: last.ok_or("two pieces from the first key")?,
-                owner,
-                fence: Fence(fence),
-                expires_at: wire.ends.get(&first).copied().map(Duration::from_millis),
-            })
-        };
-        let pieces: Result<Vec<Assignment>, Self::Error> =
-            wire.pieces.iter().zip(ends).map(piece).collect();
+        let assignments: Result<Vec<Assignment>, Self::Error> = value
+            .assignments
+            .iter()
+            .zip(last_keys)
+            .map(assignment)
+            .collect();
         let table = Self {
-            assignments: pieces?,
-            highest_fence: Fence(wire.fence),
+            assignments: assignments?,
+            highest_fence: Fence(value.highest_fence),
         };
         match table.is_complete() {
             true => Ok(table),
-            false => Err("pieces out of order"),
+            false => Err("assignments out of order or incomplete"),
         }
     }
 }
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -1,4 +1,5 @@
-//! Recorded owners come back as they were, fit a row, and broken rows are refused.
+//! Assignments survive a round trip through their rows, rows fit the store's limit, and invalid rows
+//! are rejected.
 
 use {
     super::{AssignmentRowValue, encode},
@@ -13,105 +14,114 @@
     },
 };
 
-/// An address with as many characters as any.
+/// Address whose text has the greatest length.
 const ADDRESS: SocketAddr =
     SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(100, 200, 201, 202), 65_535));
 
-/// Longest value of a row of the store, in bytes.
-const ROW: usize = 65_536;
+/// The store's limit for the base64 form of a row's value.
+const STORE_LIMIT_BYTES: usize = 65_536;
 
-fn table(targets: u16, pieces: u16) -> AssignmentTable {
+fn table(target_count: u16, assignment_count: u16) -> AssignmentTable {
     let mut table = AssignmentTable::default();
-    for at in 1..pieces {
-        table.split_around(at * (u16::MAX / pieces), u16::MAX);
+    for index in 1..assignment_count {
+        table.split_around(index * (u16::MAX / assignment_count), u16::MAX);
     }
-    for (piece, at) in table.assignments.iter_mut().zip(0u64..) {
-        piece.owner = Some(TargetIncarnation {
-            id: format!("i-{:010x}", at % u64::from(targets)).into(),
-            incarnation: 1_785_804_039_008 + at % u64::from(targets),
+    for (assignment, index) in table.assignments.iter_mut().zip(0u64..) {
+        assignment.owner = Some(TargetIncarnation {
+            id: format!("i-{:010x}", index % u64::from(target_count)).into(),
+            incarnation: 1_785_804_039_008 + index % u64::from(target_count),
         });
-        piece.fence = Fence(100_000 + at);
+        assignment.fence = Fence(100_000 + index);
     }
     table.highest_fence = Fence(200_000);
     table
 }
 
-fn written(table: &AssignmentTable) -> Vec<u8> {
-    let address = |_: &TargetIncarnation| Some(ADDRESS);
-    serde_json::to_vec(&AssignmentRowValue::new(table, address)).expect("JSON")
+fn encode_table(table: &AssignmentTable) -> Vec<u8> {
+    let find_address = |_: &TargetIncarnation| Some(ADDRESS);
+    serde_json::to_vec(&AssignmentRowValue::new(table, find_address)).expect("JSON")
 }
 
-fn read(row: &[u8]) -> Result<AssignmentTable, String> {
-    let wire: AssignmentRowValue =
-        serde_json::from_slice(row).map_err(|error| error.to_string())?;
-    AssignmentTable::try_from(wire).map_err(str::to_owned)
+fn decode_value(value: &[u8]) -> Result<AssignmentTable, String> {
+    let value: AssignmentRowValue =
+        serde_json::from_slice(value).map_err(|error| error.to_string())?;
+    AssignmentTable::try_from(value).map_err(str::to_owned)
 }
 
 #[test]
-fn a_table_comes_back_as_it_was() {
-    let mut partly = table(3, 7);
-    partly.assignments[2].owner = None;
-    partly.assignments[4].expires_at = Some(Duration::from_millis(1_234));
+fn tables_survive_a_round_trip() {
+    let mut partial = table(3, 7);
+    partial.assignments[2].owner = None;
+    partial.assignments[4].expires_at = Some(Duration::from_millis(1_234));
     for table in [
         AssignmentTable::default(),
         table(1, 1),
         table(25, 150),
-        partly,
+        partial,
     ] {
-        assert_eq!(read(&written(&table)), Ok(table));
+        assert_eq!(decode_value(&encode_table(&table)), Ok(table));
     }
 }
 
 #[test]
-fn the_addresses_of_owners_come_back_and_may_be_missing() {
+fn addresses_of_owners_are_optional() {
     let table = table(2, 4);
     let second = table.assignments[1].owner.clone().expect("an owner");
-    let known = |life: &TargetIncarnation| (*life == second).then_some(ADDRESS);
-    let wire = AssignmentRowValue::new(&table, known);
-    assert_eq!(wire.addresses(), [(second.clone(), ADDRESS)]);
-    let without = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
-    let wire: AssignmentRowValue = serde_json::from_str(without).expect("a table");
-    assert!(wire.addresses().is_empty());
+    let find_address = |owner: &TargetIncarnation| (*owner == second).then_some(ADDRESS);
+    let value = AssignmentRowValue::new(&table, find_address);
+    assert_eq!(value.addresses(), [(second.clone(), ADDRESS)]);
+    let without_addresses = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
+    let value: AssignmentRowValue = serde_json::from_str(without_addresses).expect("a table");
+    assert!(value.addresses().is_empty());
 }
 
 #[test]
-fn owners_of_a_large_deployment_come_back_from_several_rows() {
-    for (targets, pieces, count) in [(300, 800, 1), (800, 1600, 3), (3000, 6000, 8)] {
-        let table = table(targets, pieces);
-        let wire = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
-        let puts = encode("boards", &wire).expect("rows");
-        assert_eq!(puts.len(), count, "{targets} targets, {pieces} pieces");
-        let longest = puts.iter().map(|it| it.value.len()).max();
-        // In the text form four bytes stand for three.
-        assert!(longest.is_some_and(|it| it * 4 / 3 <= ROW));
-        let mut all: Vec<Row> = puts.into_iter().map(row).collect();
-        let head = all.iter().find(|it| it.key == "owners/boards").cloned();
-        let head = head.expect("the row that the others are parts of");
-        let read = super::decode("boards", &head, &all).expect("owners");
-        assert_eq!(AssignmentTable::try_from(read), Ok(table));
-        all.retain(|it| it.key != "parts/boards/001");
-        let partly = super::decode("boards", &head, &all);
-        assert_eq!(partly.is_err(), count > 1, "a part is missing");
+fn large_tables_survive_a_round_trip_through_several_rows() {
+    for (target_count, assignment_count, row_count) in
+        [(300, 800, 1), (800, 1600, 3), (3000, 6000, 8)]
+    {
+        let table = table(target_count, assignment_count);
+        let value = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
+        let writes = encode("boards", &value).expect("rows");
+        assert_eq!(
+            writes.len(),
+            row_count,
+            "{target_count} targets, {assignment_count} assignments"
+        );
+        let longest = writes.iter().map(|it| it.value.len()).max();
+        // Base64 encodes three bytes as four characters.
+        assert!(longest.is_some_and(|it| it * 4 / 3 <= STORE_LIMIT_BYTES));
+        let mut all_rows: Vec<Row> = writes.into_iter().map(stored_row).collect();
+        let head = all_rows
+            .iter()
+            .find(|it| it.key == "owners/boards")
+            .cloned();
+        let head = head.expect("row of the service");
+        let value = super::decode("boards", &head, &all_rows).expect("assignments");
+        assert_eq!(AssignmentTable::try_from(value), Ok(table));
+        all_rows.retain(|it| it.key != "parts/boards/001");
+        let partial = super::decode("boards", &head, &all_rows);
+        assert_eq!(partial.is_err(), row_count > 1, "decoding without a part");
     }
 }
 
-fn row(put: RowWrite) -> Row {
+fn stored_row(write: RowWrite) -> Row {
     Row {
-        key: put.key,
-        value: Some(put.value),
+        key: write.key,
+        value: Some(write.value),
         version: 1,
     }
 }
 
 #[test]
-fn broken_rows_are_refused() {
-    for row in [
+fn invalid_rows_are_rejected() {
+    for value in [
         r#"{"o":[],"p":[],"f":1}"#,
         r#"{"o":[],"p":[[0,0,1]],"f":1}"#,
         r#"{"o":[],"p":[[5,null,1]],"f":1}"#,
         r#"{"o":[],"p":[[0,null,1],[0,null,2]],"f":1}"#,
         r#"{"o":[],"p":[[0,null,1],[9,null,2],[4,null,3]],"f":1}"#,
     ] {
-        assert!(read(row.as_bytes()).is_err(), "{row}");
+        assert!(decode_value(value.as_bytes()).is_err(), "{value}");
     }
 }
--- a/crates/cowslipcross/src/lead/command_sender.rs
+++ b/crates/cowslipcross/src/lead/command_sender.rs
@@ -1,4 +1,4 @@
-//! Orders of the leader to the owners of keys.
+//! Sends the leader's commands to the owners of keys.
 
 use {
     crate::{
@@ -18,67 +18,70 @@
     tokio::sync::Mutex,
 };
 
-/// Longest time for the answer to a grant.
-const GRANT_LIMIT: Duration = Duration::from_millis(500);
-/// Longest time from the look at the lease to the arrival of a grant; without processor time it may
-/// be sent after its limit.
+/// Timeout of a grant.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest time from the check of the lease to the arrival of a grant at the target. It exceeds
+/// [`GRANT_TIMEOUT`], since a process that gets no CPU time may send the grant after the timeout.
 pub const DELIVERY_LIMIT: Duration = Duration::from_millis(800);
-/// Longest time for the answer to a release, which waits for the work on the keys.
-const RELEASE_LIMIT: Duration = Duration::from_millis(2500);
+/// Timeout of a release, which the target answers once the work on the keys has ended.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Sends orders, and knows where the targets are.
+/// Sends commands over connections that it keeps for each target.
 #[derive(Default)]
 pub struct CommandSender {
-    clients: RefCell<BTreeMap<SocketAddr, Clients>>,
+    clients: RefCell<BTreeMap<SocketAddr, TargetClients>>,
 }
 
-/// Connections to a target for orders.
+/// HTTP clients for the commands to one target.
 #[derive(Clone)]
-struct Clients {
-    /// Grants go one after the other, so that they need one connection.
+struct TargetClients {
+    /// Locked for each grant: grants are sent one after the other, over one connection.
     grants: Rc<Mutex<Client>>,
-    /// Releases wait for work at the target, so each has its own call.
+    /// Releases wait for work at the target, so they are sent concurrently.
     releases: Rc<Client>,
 }
 
 impl CommandSender {
-    /// Sends an order to its target, unless this instance is no longer the leader, or `current` says
-    /// that it no longer is the keeper's. An order may wait for those before it.
+    /// Sends a command to the owner of its keys and records the outcome.
+    ///
+    /// A grant may wait for earlier ones. Right before the send, the command is dropped if this
+    /// instance no longer leads or `is_current` returns false, which means that the manager that
+    /// issued the command was replaced.
     pub async fn send(
         &self,
         context: &Context,
-        order: &Command,
-        current: impl Fn() -> bool,
+        command: &Command,
+        is_current: impl Fn() -> bool,
     ) -> CommandOutcome {
-        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
-        if matches!(order, Command::Release { .. }) {
-            let about = about(assignment, format!("fence {}", assignment.fence));
-            context.events.record(events::RELEASE_STARTED, about);
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
+        if matches!(command, Command::Release { .. }) {
+            let fields = event_fields(assignment, format!("fence {}", assignment.fence));
+            context.events.record(events::RELEASE_STARTED, fields);
         }
-        let end = match &assignment.owner {
+        let result = match &assignment.owner {
             Some(owner) => {
-                let current = || context.is_leader() && current();
-                self.send_to_owner(context, order, owner, current).await
+                let may_send = || context.is_leader() && is_current();
+                self.send_to_owner(context, command, owner, may_send).await
             }
-            None => Err(unsent("keys without an owner")),
+            None => Err(not_sent_error("keys have no owner")),
         };
-        let cause = end.as_ref().err().map(ToString::to_string);
-        let done = end.unwrap_or_else(|error| of_error(&error));
-        note(context, order, &done, cause);
-        done
+        let cause = result.as_ref().err().map(ToString::to_string);
+        let outcome = result.unwrap_or_else(|error| outcome_of_error(&error));
+        record_outcome(context, command, &outcome, cause);
+        outcome
     }
 
     async fn send_to_owner(
         &self,
         context: &Context,
-        order: &Command,
+        command: &Command,
         owner: &TargetIncarnation,
-        current: impl Fn() -> bool,
+        may_send: impl Fn() -> bool,
     ) -> Result<CommandOutcome> {
-        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
-        let clients = self.clients(context, &owner.id);
-        let clients = clients.ok_or_else(|| unsent("address not known"))?;
-        match order {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
+        let clients = self.target_clients(context, &owner.id);
+        let clients = clients.ok_or_else(|| not_sent_error("target address unknown"))?;
+        match command {
             Command::Grant { ttl, handover, .. } => {
                 let grant = Grant {
                     first_key: assignment.first,
@@ -88,28 +91,28 @@
                     handover: handover.clone(),
                 };
                 let client = clients.grants.lock().await;
-                if !current() {
-                    return Err(unsent("no longer leader"));
+                if !may_send() {
+                    return Err(not_sent_error("no longer leader"));
                 }
-                let granted = commands::send_grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
-                granted.map(of_grant)
+                let granted = commands::send_grant(&client, &owner.id, &grant, GRANT_TIMEOUT).await;
+                granted.map(outcome_of_grant)
             }
-            Command::Release { .. } if !current() => Err(unsent("no longer leader")),
+            Command::Release { .. } if !may_send() => Err(not_sent_error("no longer leader")),
             Command::Release { .. } => {
                 let keys = (assignment.first, assignment.last);
                 let client = &clients.releases;
-                commands::send_release(client, &owner.id, keys, assignment.fence, RELEASE_LIMIT)
+                commands::send_release(client, &owner.id, keys, assignment.fence, RELEASE_TIMEOUT)
                     .await
                     .map(CommandOutcome::Released)
             }
         }
     }
 
-    /// Returns the connections to a target, where it is or last was.
-    fn clients(&self, context: &Context, id: &Name) -> Option<Clients> {
+    /// Returns the clients of a target's last known address; `None` if no address is known.
+    fn target_clients(&self, context: &Context, id: &Name) -> Option<TargetClients> {
         let address = context.target_addresses.borrow().get(id)?.socket_address;
         let mut clients = self.clients.borrow_mut();
-        let clients = clients.entry(address).or_insert_with(|| Clients {
+        let clients = clients.entry(address).or_insert_with(|| TargetClients {
             grants: Rc::new(Mutex::new(Client::new(address))),
             releases: Rc::new(Client::new(address)),
         });
@@ -117,37 +120,44 @@
     }
 }
 
-fn of_grant(granted: GrantOutcome) -> CommandOutcome {
+fn outcome_of_grant(granted: GrantOutcome) -> CommandOutcome {
     match granted {
         GrantOutcome::Accepted => CommandOutcome::Accepted,
         GrantOutcome::StaleFence => CommandOutcome::StaleFence,
     }
 }
 
-fn of_error(error: &Error) -> CommandOutcome {
+fn outcome_of_error(error: &Error) -> CommandOutcome {
     match error {
         // Another target has the address: the owner's process has ended.
         Error::Misdirected => CommandOutcome::TargetEnded,
-        // A target that has as many connections as it may have refuses further ones, too.
+        // A refused connection does not mean that the process has ended: a target at its connection
+        // limit refuses further ones, too.
         Error::ConnectRefused | Error::NotSent(_) => CommandOutcome::Unsent,
         Error::Rejected { status, .. } if commands::is_not_executed(*status) => {
             CommandOutcome::Unsent
         }
-        // A faulty target may answer anything else although it has carried the order out.
+        // A faulty target may send any other response although it has executed the command.
         Error::Rejected { .. } | Error::OutcomeUnknown(_) | Error::Malformed { .. } => {
             CommandOutcome::Unknown
         }
     }
 }
 
-fn unsent(cause: &str) -> Error {
+fn not_sent_error(cause: &str) -> Error {
     Error::NotSent(cause.into())
 }
 
-fn note(context: &Context, order: &Command, done: &CommandOutcome, cause: Option<String>) {
-    context.metrics.count_command(order, done);
-    let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
-    let (code, what) = match (order, done) {
+/// Counts the outcome and records an event unless a grant was accepted.
+fn record_outcome(
+    context: &Context,
+    command: &Command,
+    outcome: &CommandOutcome,
+    cause: Option<String>,
+) {
+    context.metrics.count_command(command, outcome);
+    let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
+    let (code, summary) = match (command, outcome) {
         (Command::Grant { .. }, CommandOutcome::Accepted) => return,
         (Command::Grant { .. }, CommandOutcome::StaleFence) => {
             (events::GRANT_REFUSED, "higher fence seen")
@@ -157,17 +167,17 @@
         }
         (_, CommandOutcome::TargetEnded) => (events::COMMAND_FAILED, "process has ended"),
         (_, CommandOutcome::Unsent) => (events::COMMAND_FAILED, "not sent"),
-        _ => (events::COMMAND_FAILED, "no answer"),
+        _ => (events::COMMAND_FAILED, "no valid response"),
     };
     let cause = cause.map(|it| format!(": {it}")).unwrap_or_default();
-    let about = about(
+    let fields = event_fields(
         assignment,
-        format!("{what}, fence {}{cause}", assignment.fence),
+        format!("{summary}, fence {}{cause}", assignment.fence),
     );
-    context.events.record(code, about);
+    context.events.record(code, fields);
 }
 
-fn about(assignment: &Assignment, detail: String) -> EventFields {
+fn event_fields(assignment: &Assignment, detail: String) -> EventFields {
     EventFields {
         key: Some(format!("{}-{}", assignment.first, assignment.last).into()),
         target: assignment.owner.as_ref().map(|it| it.id.clone()),
--- a/crates/cowslipcross/src/lead/target_status.rs
+++ b/crates/cowslipcross/src/lead/target_status.rs
@@ -10,27 +10,27 @@
 /// Whether a target may own keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetStatus {
-    /// Its present run.
+    /// Incarnation that runs now.
     pub incarnation: u64,
-    /// Whether it neither leaves nor is in a withdrawn data centre.
+    /// Whether the target is neither draining nor in a withdrawn data centre.
     pub can_own: bool,
-    /// Whether it is cold.
+    /// Whether the target is cold.
     pub is_cold: bool,
 }
 
-/// Returns the targets of a service with their standing.
+/// Returns the status of each target of a service.
 pub fn target_statuses(context: &Context, service: &str) -> BTreeMap<Name, TargetStatus> {
     let now = Instant::now();
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
-    let standing = |seen: &Seen| {
-        let target = &seen.target;
-        let standing = TargetStatus {
+    let status = |view: &Seen| {
+        let target = &view.target;
+        let status = TargetStatus {
             incarnation: target.incarnation,
-            can_own: seen.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
-            is_cold: seen.is_cold(now),
+            can_own: view.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
+            is_cold: view.is_cold(now),
         };
-        (target.id.clone(), standing)
+        (target.id.clone(), status)
     };
-    targets.of(service).map(standing).collect()
+    targets.of(service).map(status).collect()
 }
