--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -138,9 +138,7 @@
             RecordingOutcome::NotRecorded => false,
             RecordingOutcome::Unknown => {
                 let row_version = self.context.election.borrow().row_version();
-                self.with_service(|service| {
-                    service.unconfirmed_write = Some((table, row_version));
-                });
+                self.with_service(|service| service.unconfirmed_write = Some((table, row_version)));
                 false
             }
         }
