--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -86,11 +86,11 @@
         else {
             return false;
         };
-        let Some((table, row_version)) = unconfirmed else {
+        let Some((table, version_at_write)) = unconfirmed else {
             return true;
         };
-        let renewed =
-            self.context.election.borrow().row_version() > row_version && self.context.is_leader();
+        let renewed = self.context.election.borrow().row_version() > version_at_write
+            && self.context.is_leader();
         renewed
             && leader_row::refresh_router_table(&self.context).await
             && self.compare_with_store(&table)
@@ -128,23 +128,25 @@
         capacities: &TargetCapacities,
     ) -> bool {
         let proposal = self.with_service(|service| {
-            propose_table(&self.context, service, &self.name, statuses, capacities)
+            build_proposal(&self.context, service, &self.name, statuses, capacities)
         });
         let Some((version, table)) = proposal.flatten() else {
             return false;
         };
         match leader_row::record_assignments(&self.context, &self.name, version, &table).await {
-            RecordingOutcome::Recorded => self.apply_recorded(&table),
+            RecordingOutcome::Recorded => self.finish_recording(&table),
             RecordingOutcome::NotRecorded => false,
             RecordingOutcome::Unknown => {
-                let row_version = self.context.election.borrow().row_version();
-                self.with_service(|service| service.unconfirmed_write = Some((table, row_version)));
+                let version_at_write = self.context.election.borrow().row_version();
+                self.with_service(|service| {
+                    service.unconfirmed_write = Some((table, version_at_write))
+                });
                 false
             }
         }
     }
 
-    fn apply_recorded(&self, table: &AssignmentTable) -> bool {
+    fn finish_recording(&self, table: &AssignmentTable) -> bool {
         let owners = self.context.owners.borrow();
         let version = owners.get(&self.name).map_or(0, |it| it.version);
         drop(owners);
@@ -162,7 +164,7 @@
 
 /// Returns the table to record next, with the recorded version that it replaces; `None` if nothing
 /// has to be recorded.
-fn propose_table(
+fn build_proposal(
     context: &Context,
     service: &ServiceState,
     name: &Name,
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -42,9 +42,9 @@
     serde_json::to_vec(&AssignmentRowValue::new(table, find_address)).expect("JSON")
 }
 
-fn decode_value(value: &[u8]) -> Result<AssignmentTable, String> {
+fn decode_value(json: &[u8]) -> Result<AssignmentTable, String> {
     let value: AssignmentRowValue =
-        serde_json::from_slice(value).map_err(|error| error.to_string())?;
+        serde_json::from_slice(json).map_err(|error| error.to_string())?;
     AssignmentTable::try_from(value).map_err(str::to_owned)
 }
 
@@ -115,13 +115,13 @@
 
 #[test]
 fn invalid_rows_are_rejected() {
-    for value in [
+    for json in [
         r#"{"o":[],"p":[],"f":1}"#,
         r#"{"o":[],"p":[[0,0,1]],"f":1}"#,
         r#"{"o":[],"p":[[5,null,1]],"f":1}"#,
         r#"{"o":[],"p":[[0,null,1],[0,null,2]],"f":1}"#,
         r#"{"o":[],"p":[[0,null,1],[9,null,2],[4,null,3]],"f":1}"#,
     ] {
-        assert!(decode_value(value.as_bytes()).is_err(), "{value}");
+        assert!(decode_value(json.as_bytes()).is_err(), "{json}");
     }
 }
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -1,4 +1,5 @@
-//! The leader's duty: it keeps every key with one target, and spreads keys by their load.
+//! The leader's periodic work: assigns every key to one target, rebalances the load and sends
+//! heartbeats.
 
 use {
     crate::{
@@ -29,141 +30,149 @@
     },
 };
 
-/// Period in which the leader looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
-/// Shortest time between two such looks, for each target: a look takes the longer the more there are.
-const GAP: Duration = Duration::from_micros(50);
+/// Longest time between two rounds of the leader loop.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause after each round, for each target: a round costs CPU time for each of them.
+const PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
 /// Shortest time between two heartbeats, for each member.
-const BEAT_GAP: Duration = Duration::from_micros(400);
-/// Hold of a grant.
-const HOLD: Duration = Duration::from_millis(2700);
-/// Time after which a grant is renewed.
-const RENEWAL: Duration = Duration::from_millis(650);
-/// The same for a service with many pieces.
-const SLOW_RENEWAL: Duration = Duration::from_millis(1100);
-/// Time after which an order that failed is sent again.
-const RETRY: Duration = Duration::from_millis(150);
-/// Period of heartbeats.
-const BEAT: Duration = Duration::from_millis(500);
-/// Time by which heartbeats with new owners follow their grants.
-const GRANTS_FIRST: Duration = Duration::from_millis(3);
-/// Time without a new target after which keys that never had an owner are given out.
-const GATHERED: Duration = Duration::from_millis(1000);
-/// Longest wait for further targets before that.
-const LONGEST_GATHER: Duration = Duration::from_millis(3500);
-/// Period in which keys are spread anew.
-const BALANCE: Duration = Duration::from_millis(500);
-/// Most transfers that are begun at a time: this many, and one for each so many targets.
-const TRANSFERS: usize = 6;
-const TARGETS_EACH: usize = 8;
-/// Most transfers for so many targets: choosing one takes a look at each of them.
-const MOST_LOOKS: usize = 10_000;
+const HEARTBEAT_GAP_PER_MEMBER: Duration = Duration::from_micros(400);
+/// TTL of a grant.
+const GRANT_TTL: Duration = Duration::from_millis(2700);
+/// Time from a grant to its renewal.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(650);
+/// The same for a service with many assignments.
+const SLOW_RENEWAL_INTERVAL: Duration = Duration::from_millis(1100);
+/// Time after which a failed command is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Longest time between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay of a heartbeat with new owners, so that the grants to them arrive first.
+const NEW_OWNERS_DELAY: Duration = Duration::from_millis(3);
+/// Keys get their first owners once the number of targets has not changed for this time.
+const STABLE_TARGETS_TIME: Duration = Duration::from_millis(1000);
+/// Longest wait for that.
+const MAX_TARGETS_WAIT: Duration = Duration::from_millis(3500);
+/// Shortest time between two rebalances of a service.
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Most transfers that one rebalance starts: this many, and one more for every
+/// [`TARGETS_PER_TRANSFER`] targets.
+const BASE_TRANSFERS: usize = 6;
+const TARGETS_PER_TRANSFER: usize = 8;
+/// Bound on transfers times targets in one rebalance: each transfer is chosen among all targets.
+const MAX_TARGET_CHECKS: usize = 10_000;
 
-/// Bounds of a target's speed in relation to the others.
-const SLOWEST: f64 = 0.2;
-const FASTEST: f64 = 2.0;
+/// Bounds of a target's speed in relation to the mean.
+const MIN_SPEED: f64 = 0.2;
+const MAX_SPEED: f64 = 2.0;
 
-/// What a leader knows beyond the store; another instance's is empty.
+/// State of the leader loop that is not in the store; not in use while another instance leads.
 #[derive(Default)]
 pub struct LeaderState {
-    /// Services by name.
+    /// Sharded services by name.
     pub services: BTreeMap<Name, ServiceState>,
-    /// Time as leader to which the services belong.
+    /// Epoch of the election to which the services belong.
     epoch: u64,
     command_sender: Rc<CommandSender>,
 }
 
 impl LeaderState {
-    /// Returns whether a grant is under way.
-    pub fn is_granting(&self) -> bool {
+    /// Returns whether a grant is in flight.
+    pub fn has_grant_in_flight(&self) -> bool {
         self.services
             .values()
             .any(|it| it.manager.has_grant_in_flight())
     }
 }
 
-/// One divided service as its leader keeps it.
+/// Leader's state for one sharded service.
 pub struct ServiceState {
-    /// Ownership.
+    /// State machine of the service's assignments.
     pub manager: AssignmentManager,
-    /// Version of the recorded owners; 0 if there is no row.
+    /// Version of the recorded assignments; 0 if there are none.
     pub recorded_version: u64,
-    /// Table whose record got no answer, and the version of the leader's row then.
+    /// Table whose write was not confirmed, and the version of the leader's row at that time.
     pub unconfirmed_write: Option<(AssignmentTable, u64)>,
-    /// Whether a record or the look at one is under way.
+    /// Whether a task is writing assignments or resolving an unconfirmed write.
     pub is_recording: bool,
-    /// When the last record began.
+    /// When the last such task started.
     pub last_recording: Option<Instant>,
-    /// When it was taken over.
+    /// When this state was created; tells it from earlier ones of the same service.
     pub started_at: Instant,
-    balanced: Instant,
-    /// Number of targets while none has a key, and since when it is the same.
-    gathered: (usize, Instant),
+    last_rebalance: Instant,
+    /// Number of targets that may own keys, and since when it has not changed; used only until the
+    /// first owners are recorded.
+    target_count: (usize, Instant),
 }
 
 impl ServiceState {
-    /// Returns whether further targets are awaited before keys get their first owners.
-    fn gathers(&mut self, targets: usize, now: Instant) -> bool {
+    /// Returns whether to wait for further targets before keys get their first owners.
+    fn is_awaiting_targets(&mut self, count: usize, now: Instant) -> bool {
         if self.recorded_version > 0 {
             return false;
         }
-        if targets != self.gathered.0 {
-            self.gathered = (targets, now);
+        if count != self.target_count.0 {
+            self.target_count = (count, now);
         }
-        let complete = targets > 0 && now - self.gathered.1 >= GATHERED;
-        !complete && now - self.started_at < LONGEST_GATHER
+        let is_stable = count > 0 && now - self.target_count.1 >= STABLE_TARGETS_TIME;
+        !is_stable && now - self.started_at < MAX_TARGETS_WAIT
     }
 }
 
-/// What other instances report.
+/// Latest reports of the instances to the leader.
 #[derive(Debug, Default)]
 pub struct PeerReports {
     /// Load of keys by service.
     key_loads: BTreeMap<Name, KeyLoads>,
-    /// Average time of targets' answers in milliseconds.
+    /// Mean service time of targets in milliseconds.
     service_times: BTreeMap<Name, u32>,
-    /// Instances that report it.
+    /// Instances that report, by address.
     pub members: Members,
 }
 
 /// Returns the time after which no grant is in force if this leader sends no more.
 ///
-/// That is `None` while it has not yet taken over what the one before it granted, and while grants
-/// are under way: an instance that is short of processor time may send them late.
+/// It is `None` while a service's earlier grants have not been taken into account since this
+/// instance became leader, and while a grant is in flight: a process that gets no CPU time may send
+/// it late.
 pub fn remaining_grant_time(context: &Context) -> Option<Duration> {
     let now = Instant::now();
     let state = context.leader_state.borrow();
-    if state.is_granting() {
+    if state.has_grant_in_flight() {
         return None;
     }
-    let current = state.epoch == context.election.borrow().epoch();
-    let all = divided(context).into_iter();
-    let holds = all.map(|name| Some(state.services.get(&name)?.manager.remaining_grant_time(now)));
-    let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
-    longest.filter(|_| current)
+    let is_current = state.epoch == context.election.borrow().epoch();
+    let services = sharded_services(context).into_iter();
+    let remaining =
+        services.map(|name| Some(state.services.get(&name)?.manager.remaining_grant_time(now)));
+    let longest = remaining
+        .collect::<Option<Vec<Duration>>>()?
+        .into_iter()
+        .max();
+    longest.filter(|_| is_current)
 }
 
 impl PeerReports {
-    /// Returns the load of a service's keys.
+    /// Returns the loads of a service's keys.
     pub fn key_loads(&mut self, service: &Name) -> &mut KeyLoads {
         self.key_loads.entry(service.clone()).or_default()
     }
 }
 
-/// Returns the strongest member but this instance that the store answers.
+/// Returns the member with the greatest weight among the other instances that reach the store.
 pub fn find_successor(context: &Context) -> Option<Member> {
     let own = context.settings.listen.heartbeats;
     let reports = context.peer_reports.borrow();
-    let able = reports.members.iter();
-    let able = able.filter(|(address, heard)| heard.able && **address != own);
-    let members = able.map(|(address, heard)| Member {
+    let candidates = reports.members.iter();
+    let candidates = candidates.filter(|(address, heard)| heard.able && **address != own);
+    let members = candidates.map(|(address, heard)| Member {
         address: *address,
         weight: heard.weight,
     });
     Membership::new(members.collect()).strongest(own)
 }
 
-/// Counts the members that the former leader told, so that they hear of the new one at once.
+/// Adds the members known from the previous leader, so that this one's heartbeats reach them before
+/// their first reports.
 pub fn add_known_members(context: &Context) {
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
@@ -177,7 +186,7 @@
     }
 }
 
-/// Takes the load of keys that another instance reports.
+/// Applies an instance's report.
 pub fn apply_report(context: &Context, from: SocketAddr, report: Report) {
     let mut reports = context.peer_reports.borrow_mut();
     let heard = Heard {
@@ -188,21 +197,21 @@
     reports.members.insert(from, heard);
     reports.service_times.extend(report.paces);
     for (service, keys) in report.keys {
-        let loads = reports.key_loads.entry(service).or_default();
+        let key_loads = reports.key_loads.entry(service).or_default();
         for (key, requests) in keys {
-            loads.add_requests(key, f64::from(requests));
+            key_loads.add_requests(key, f64::from(requests));
         }
     }
 }
 
-/// Acts as leader whenever this instance is.
+/// Runs the leader loop; does nothing while this instance does not lead.
 pub async fn run(context: Rc<Context>) {
     let state = context.leader_state.clone();
-    let mut beaten = Instant::now();
-    let mut told = Known::default();
+    let mut last_heartbeat = Instant::now();
+    let mut announced = AnnouncedVersions::default();
     loop {
-        // Either the tick is over or there is something to do.
-        let _ = timeout(TICK, context.leader_work.notified()).await;
+        // Starts a round after the interval, or earlier on a notification.
+        let _ = timeout(POLL_INTERVAL, context.leader_work.notified()).await;
         let epoch = context.election.borrow().epoch();
         if state.borrow().epoch != epoch {
             let mut state = state.borrow_mut();
@@ -210,41 +219,42 @@
             state.epoch = epoch;
         }
         if !context.is_leader() || context.leader_since.get().is_none() {
-            // Without duties there is nothing to look at so often.
-            let _ = timeout(4 * TICK, context.leader_work.notified()).await;
+            // Only the epoch has to be followed here, which may take longer.
+            let _ = timeout(4 * POLL_INTERVAL, context.leader_work.notified()).await;
             continue;
         }
-        for service in divided(&context) {
-            turn(&context, &state, &service);
+        for service in sharded_services(&context) {
+            manage_service(&context, &state, &service);
         }
-        // Orders that end in between wait for the next look.
-        let targets = context.targets.borrow().all().count() as u32;
-        sleep(GAP * targets).await;
-        // What the others follow is told at once.
-        let known = Known::of(&context);
-        if known.owners != told.owners {
-            // Grants go first, so that the new owners have their keys when requests come.
-            sleep(GRANTS_FIRST).await;
+        // Commands that end during this pause are handled in the next round.
+        let target_count = context.targets.borrow().all().count() as u32;
+        sleep(PAUSE_PER_TARGET * target_count).await;
+        // Changes are announced without waiting for the heartbeat interval.
+        let versions = AnnouncedVersions::current(&context);
+        if versions.owners != announced.owners {
+            // New owners must have their grants before requests are routed to them.
+            sleep(NEW_OWNERS_DELAY).await;
         }
-        let members = context.membership.borrow().members().len() as u32;
-        let changed = known != told && beaten.elapsed() >= BEAT_GAP * members;
-        if changed || beaten.elapsed() >= BEAT {
-            (beaten, told) = (Instant::now(), known);
+        let member_count = context.membership.borrow().members().len() as u32;
+        let is_changed = versions != announced
+            && last_heartbeat.elapsed() >= HEARTBEAT_GAP_PER_MEMBER * member_count;
+        if is_changed || last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
+            (last_heartbeat, announced) = (Instant::now(), versions);
             beat::beat(&context).await;
         }
     }
 }
 
-/// Versions that heartbeats tell.
+/// Versions of the data whose changes heartbeats announce.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Known {
+struct AnnouncedVersions {
     config: u64,
     targets: u64,
     owners: Vec<u64>,
 }
 
-impl Known {
-    fn of(context: &Context) -> Self {
+impl AnnouncedVersions {
+    fn current(context: &Context) -> Self {
         let owners = context.owners.borrow();
         Self {
             config: context.operator_version.get(),
@@ -254,29 +264,30 @@
     }
 }
 
-/// Returns the services whose keys have owners.
-fn divided(context: &Context) -> Vec<Name> {
+/// Returns the sharded services of the configuration.
+fn sharded_services(context: &Context) -> Vec<Name> {
     let config = context.config.borrow();
     let services = config.iter().flat_map(|config| &config.services);
-    let divided = services.filter(|(_, service)| service.sharded);
-    divided.map(|(name, _)| name.clone()).collect()
+    let sharded = services.filter(|(_, service)| service.sharded);
+    sharded.map(|(name, _)| name.clone()).collect()
 }
 
-/// Looks after one service. Records run beside it, so that renewals do not wait for the store.
-fn turn(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    adopt(context, state, name);
+/// Does one round of work for a service. Its assignments are recorded in a task of their own, so that
+/// renewals do not wait for the store.
+fn manage_service(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
+    ensure_service_state(context, state, name);
     let now = Instant::now();
-    let all = target_statuses(context, name);
-    let capacity = capacity(context, &all);
+    let statuses = target_statuses(context, name);
+    let capacities = target_capacities(context, &statuses);
     {
         let mut state = state.borrow_mut();
         let Some(service) = state.services.get_mut(name) else {
             return;
         };
-        if service.gathers(capacity.len(), now) {
+        if service.is_awaiting_targets(capacities.len(), now) {
             return;
         }
-        let candidates = all.iter().map(|(id, it)| {
+        let candidates = statuses.iter().map(|(id, it)| {
             let candidate = Candidate {
                 incarnation: it.incarnation,
                 can_own: it.can_own,
@@ -284,128 +295,142 @@
             (id.clone(), candidate)
         });
         service.manager.review_owners(&candidates.collect(), now);
-        for life in replaced(context, service) {
-            service.manager.mark_ended(&life, now);
+        for owner in replaced_owners(context, service) {
+            service.manager.mark_ended(&owner, now);
         }
-        spread(context, service, name, &capacity);
+        start_transfers(context, service, name, &capacities);
     }
-    assignment_recorder::start(context, state, name, all, capacity);
-    send(context, state, name);
+    assignment_recorder::start(context, state, name, statuses, capacities);
+    send_commands(context, state, name);
 }
 
-/// Takes the service over, if that is not yet done since this instance became leader.
-fn adopt(context: &Context, state: &RefCell<LeaderState>, name: &Name) {
+/// Creates the state of a service if there is none since this instance became leader.
+fn ensure_service_state(context: &Context, state: &RefCell<LeaderState>, name: &Name) {
     let now = Instant::now();
     let mut state = state.borrow_mut();
     if state.services.contains_key(name) {
         return;
     }
-    let owners = context.owners.borrow().get(name).cloned();
-    let table = owners
+    let recorded = context.owners.borrow().get(name).cloned();
+    let table = recorded
         .as_ref()
         .map_or_else(AssignmentTable::default, |it| (*it.table).clone());
-    let max_hold = context.bounds.borrow().max_ttl;
+    let max_ttl = context.bounds.borrow().max_ttl;
     let timing = CommandTiming {
-        ttl: HOLD.min(max_hold),
-        long_ttl: max_hold,
-        max_ttl: max_hold,
-        renewal_interval: RENEWAL,
-        slow_renewal: SLOW_RENEWAL,
-        retry_delay: RETRY,
+        ttl: GRANT_TTL.min(max_ttl),
+        long_ttl: max_ttl,
+        max_ttl,
+        renewal_interval: RENEWAL_INTERVAL,
+        slow_renewal: SLOW_RENEWAL_INTERVAL,
+        retry_delay: RETRY_DELAY,
         delivery_limit: command_sender::DELIVERY_LIMIT,
     };
     let service = ServiceState {
         manager: AssignmentManager::new(&table, timing, context.previous_leaders(), now),
-        recorded_version: owners.map_or(0, |it| it.version),
+        recorded_version: recorded.map_or(0, |it| it.version),
         unconfirmed_write: None,
         is_recording: false,
         last_recording: None,
         started_at: now,
-        balanced: now,
-        gathered: (0, now),
+        last_rebalance: now,
+        target_count: (0, now),
     };
     state.services.insert(name.clone(), service);
 }
 
-/// Returns what the targets that may get keys can do; cold ones only where there is no other.
-fn capacity(context: &Context, all: &BTreeMap<Name, TargetStatus>) -> TargetCapacities {
+/// Returns the capacities of the targets that may get keys; cold targets only if there is no other.
+fn target_capacities(
+    context: &Context,
+    statuses: &BTreeMap<Name, TargetStatus>,
+) -> TargetCapacities {
     let mut reports = context.peer_reports.borrow_mut();
     let targets = context.targets.borrow();
     reports
         .service_times
         .retain(|id, _| targets.get(id).is_some());
-    let service_times: Vec<u32> = all
+    let service_times: Vec<u32> = statuses
         .keys()
         .filter_map(|id| reports.service_times.get(id).copied())
         .collect();
-    let usual = f64::from(service_times.iter().sum::<u32>()) / service_times.len().max(1) as f64;
+    let mean = f64::from(service_times.iter().sum::<u32>()) / service_times.len().max(1) as f64;
     let speed = |id: &Name| match reports.service_times.get(id) {
-        Some(pace) => (usual / f64::from(*pace).max(1.0)).clamp(SLOWEST, FASTEST),
+        Some(service_time) => {
+            (mean / f64::from(*service_time).max(1.0)).clamp(MIN_SPEED, MAX_SPEED)
+        }
         None => 1.0,
     };
     let slots = |id: &Name| targets.get(id).map_or(1, |it| it.target.slots) as f64;
-    let open = |cold: bool| {
-        let chosen = all
+    let capacities = |cold: bool| {
+        let chosen = statuses
             .iter()
             .filter(move |(_, it)| it.can_own && it.is_cold == cold);
         chosen
             .map(|(id, _)| (id.clone(), slots(id) * speed(id)))
             .collect::<TargetCapacities>()
     };
-    let warm = open(false);
-    if warm.is_empty() { open(true) } else { warm }
+    let warm = capacities(false);
+    if warm.is_empty() {
+        capacities(true)
+    } else {
+        warm
+    }
 }
 
-/// Returns the owners that are not listed and whose address belongs to a target that started later.
+/// Returns the owners that no longer report and whose address belongs to a target that started later.
 ///
-/// An address is given to another target only some time after the process that had it has ended.
-fn replaced(context: &Context, service: &ServiceState) -> Vec<TargetIncarnation> {
+/// Their processes have ended, as an address is given to another target only some time after that.
+fn replaced_owners(context: &Context, service: &ServiceState) -> Vec<TargetIncarnation> {
     let targets = context.targets.borrow();
     let owners = service.manager.owners().into_iter();
-    let unlisted: Vec<&TargetIncarnation> = owners
-        .filter(|life| targets.get(&life.id).is_none())
-        .filter(|life| !service.manager.ended_incarnations().contains(life))
+    let missing: Vec<&TargetIncarnation> = owners
+        .filter(|owner| targets.get(&owner.id).is_none())
+        .filter(|owner| !service.manager.ended_incarnations().contains(owner))
         .collect();
-    if unlisted.is_empty() {
+    if missing.is_empty() {
         return Vec::new();
     }
-    let listed = targets
+    let incarnations = targets
         .all()
         .map(|it| (it.target.address, it.target.incarnation));
-    let listed: BTreeMap<SocketAddr, u64> = listed.collect();
-    let unlisted = unlisted.into_iter().filter(|life| {
-        let address = context.target_address(life);
-        let next = address.and_then(|at| listed.get(&at));
-        next.is_some_and(|born| *born > life.incarnation)
+    let incarnations: BTreeMap<SocketAddr, u64> = incarnations.collect();
+    let replaced = missing.into_iter().filter(|owner| {
+        let address = context.target_address(owner);
+        let current = address.and_then(|address| incarnations.get(&address));
+        current.is_some_and(|incarnation| *incarnation > owner.incarnation)
     });
-    unlisted.cloned().collect()
+    replaced.cloned().collect()
 }
 
-/// Begins transfers that make the loads more even.
-fn spread(context: &Context, service: &mut ServiceState, name: &Name, capacity: &TargetCapacities) {
+/// Starts transfers that even out the loads.
+fn start_transfers(
+    context: &Context,
+    service: &mut ServiceState,
+    name: &Name,
+    capacities: &TargetCapacities,
+) {
     let now = Instant::now();
-    service.manager.split_evenly(capacity.len() as u32);
-    if now - service.balanced < BALANCE {
+    service.manager.split_evenly(capacities.len() as u32);
+    if now - service.last_rebalance < REBALANCE_INTERVAL {
         return;
     }
-    service.balanced = now;
-    // Keys that were released and cannot be recorded would have no owner.
-    let writes = context
+    service.last_rebalance = now;
+    // If the new owners could not be recorded, released keys would have no owner.
+    let is_writable = context
         .election
         .borrow()
         .is_store_writable(clock::local_time());
-    if !writes || service.unconfirmed_write.is_some() {
+    if !is_writable || service.unconfirmed_write.is_some() {
         return;
     }
     let mut reports = context.peer_reports.borrow_mut();
-    let loads = reports.key_loads(name);
-    loads.decay(now);
+    let key_loads = reports.key_loads(name);
+    key_loads.decay(now);
     let transfers = rebalance(
         &service.manager.table(),
-        loads,
-        capacity,
-        transfers(capacity.len()),
-        |piece| !service.manager.is_settled(piece.first),
+        key_loads,
+        capacities,
+        max_transfers(capacities.len()),
+        |assignment| !service.manager.is_settled(assignment.first),
     );
     for transfer in transfers {
         let (first, last) = (transfer.first, transfer.last);
@@ -415,43 +440,48 @@
     }
 }
 
-/// Returns how many transfers are begun at a time among so many targets.
-fn transfers(targets: usize) -> usize {
-    let most = (MOST_LOOKS / targets.max(1)).max(1);
-    (TRANSFERS + targets / TARGETS_EACH).min(most)
+/// Returns the most transfers to start in one rebalance.
+fn max_transfers(target_count: usize) -> usize {
+    let max = (MAX_TARGET_CHECKS / target_count.max(1)).max(1);
+    (BASE_TRANSFERS + target_count / TARGETS_PER_TRANSFER).min(max)
 }
 
-/// Sends the orders that are due.
-fn send(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    let strained = context
+/// Sends the commands that are due, each in a task of its own.
+fn send_commands(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
+    let is_store_unreachable = context
         .election
         .borrow()
         .is_renewal_overdue(clock::local_time());
-    let mut own = state.borrow_mut();
-    let Some(service) = own.services.get_mut(name) else {
+    let mut leader_state = state.borrow_mut();
+    let Some(service) = leader_state.services.get_mut(name) else {
         return;
     };
-    let begun = service.started_at;
-    for order in service.manager.next_commands(strained, Instant::now()) {
+    let started_at = service.started_at;
+    for command in service
+        .manager
+        .next_commands(is_store_unreachable, Instant::now())
+    {
         let (context, state, name) = (context.clone(), state.clone(), name.clone());
         spawn_local(async move {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             let command_sender = state.borrow().command_sender.clone();
-            let current = || {
+            let is_current = || {
                 let services = &state.borrow().services;
-                services.get(&name).is_some_and(|it| it.started_at == begun)
+                services
+                    .get(&name)
+                    .is_some_and(|it| it.started_at == started_at)
             };
-            let done = command_sender.send(&context, &order, current).await;
+            let outcome = command_sender.send(&context, &command, is_current).await;
             let mut state = state.borrow_mut();
-            // The orders of an earlier time as leader are not this keeper's.
+            // A state that was created after the command was sent must not get its outcome.
             if let Some(service) = state
                 .services
                 .get_mut(&name)
-                .filter(|it| it.started_at == begun)
+                .filter(|it| it.started_at == started_at)
             {
                 service
                     .manager
-                    .handle_outcome(&order, done, sent, Instant::now());
+                    .handle_outcome(&command, outcome, sent_at, Instant::now());
             }
             context.leader_work.notify_one();
         });
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -473,7 +473,7 @@
     context.election.borrow_mut().step_down();
     context.leader_since.set(None);
     let ends = Instant::now() + GRANTS_END;
-    while context.leader_state.borrow().is_granting() && Instant::now() < ends {
+    while context.leader_state.borrow().has_grant_in_flight() && Instant::now() < ends {
         sleep(GRANTS_LOOK).await;
     }
     let checks = [check(SEAT_KEY, version)];
