--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -50,7 +50,7 @@
 const NEW_OWNERS_DELAY: Duration = Duration::from_millis(3);
 /// Keys get their first owners once the number of targets has not changed for this time.
 const STABLE_TARGETS_TIME: Duration = Duration::from_millis(1000);
-/// Longest wait for that.
+/// Time after which they get them in any case.
 const MAX_TARGETS_WAIT: Duration = Duration::from_millis(3500);
 /// Shortest time between two rebalances of a service.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
@@ -65,7 +65,7 @@
 const MIN_SPEED: f64 = 0.2;
 const MAX_SPEED: f64 = 2.0;
 
-/// State of the leader loop that is not in the store; not in use while another instance leads.
+/// State of the leader loop that is not in the store; empty on instances that do not lead.
 #[derive(Default)]
 pub struct LeaderState {
     /// Sharded services by name.
@@ -236,9 +236,9 @@
             sleep(NEW_OWNERS_DELAY).await;
         }
         let member_count = context.membership.borrow().members().len() as u32;
-        let is_changed = versions != announced
+        let is_change_due = versions != announced
             && last_heartbeat.elapsed() >= HEARTBEAT_GAP_PER_MEMBER * member_count;
-        if is_changed || last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
+        if is_change_due || last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
             (last_heartbeat, announced) = (Instant::now(), versions);
             beat::beat(&context).await;
         }
@@ -315,11 +315,11 @@
     let table = recorded
         .as_ref()
         .map_or_else(AssignmentTable::default, |it| (*it.table).clone());
-    let max_ttl = context.bounds.borrow().max_ttl;
+    let ttl_limit = context.bounds.borrow().max_ttl;
     let timing = CommandTiming {
-        ttl: GRANT_TTL.min(max_ttl),
-        long_ttl: max_ttl,
-        max_ttl,
+        ttl: GRANT_TTL.min(ttl_limit),
+        long_ttl: ttl_limit,
+        max_ttl: ttl_limit,
         renewal_interval: RENEWAL_INTERVAL,
         slow_renewal: SLOW_RENEWAL_INTERVAL,
         retry_delay: RETRY_DELAY,
@@ -401,7 +401,8 @@
     replaced.cloned().collect()
 }
 
-/// Starts transfers that even out the loads.
+/// Splits keys that never had an owner among the targets, and starts transfers that even out the
+/// loads.
 fn start_transfers(
     context: &Context,
     service: &mut ServiceState,
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -1,4 +1,4 @@
-//! The leader's row in the store: read, taken, renewed and given up.
+//! The leader's row in the store: reads, claims, renews and releases it.
 
 use {
     crate::{
@@ -23,264 +23,283 @@
 };
 
 /// Key of the leader's row.
-const SEAT_KEY: &str = "leader";
-/// Longest time for an answer of the store.
-const LIMIT: Duration = Duration::from_millis(450);
-/// Period in which the row is looked after.
-const TICK: Duration = Duration::from_millis(100);
-/// Period of the reads while no leader is heard.
-const SEARCH: Duration = Duration::from_millis(600);
-/// Pause between two reads of one that has to know the row at once.
-const URGENT: Duration = Duration::from_millis(150);
-/// Longest pause after reads that failed.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
-/// Time by which each member searches, and takes a free row, later than the one before it, and the
-/// longest such time: mostly the first one takes the row, and the others hear of it.
-const STAGGER: Duration = Duration::from_millis(150);
-const LONGEST_STAGGER: Duration = Duration::from_millis(1800);
-/// Time that one with less than [`STRONG`] leaves to others when no member is known.
-const FIRST: Duration = Duration::from_millis(150);
-/// Longest time that any instance leaves to others then; each draws its own.
-const UNKNOWN_RANK: Duration = Duration::from_millis(300);
-/// Weight of an instance that may lead a large deployment.
-const STRONG: u8 = 30;
-/// Time as leader after which one hands over to a member that is stronger by [`STRONGER`].
-const SETTLED: Duration = Duration::from_secs(3);
-const STRONGER: u8 = 2;
-/// Time after which it may do so again.
-const HAND_OVER: Duration = Duration::from_secs(20);
-/// Time that it then leaves to that member.
-const YIELD: Duration = Duration::from_millis(2500);
+const LEADER_KEY: &str = "leader";
+/// Timeout of a call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(450);
+/// Longest time between two steps of the election.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two reads while no heartbeats arrive.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(600);
+/// Shortest time between two reads.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest time between two reads after failed ones.
+const MAX_READ_INTERVAL: Duration = Duration::from_millis(1200);
+/// Delay per rank of a member's search for a leader and of its claim to a free row, and its maximum.
+/// Usually the first member claims the row, and the others learn of it from its heartbeats.
+const DELAY_PER_RANK: Duration = Duration::from_millis(150);
+const MAX_RANK_DELAY: Duration = Duration::from_millis(1800);
+/// Delay of an instance below [`STRONG_WEIGHT`] that has no rank, as it knows no members yet.
+const WEAK_DELAY: Duration = Duration::from_millis(150);
+/// Longest random delay that each instance without a rank adds.
+const MAX_RANDOM_DELAY: Duration = Duration::from_millis(300);
+/// Weight from which an instance can lead a large deployment.
+const STRONG_WEIGHT: u8 = 30;
+/// Time as leader after which an instance resigns if another member's weight is at least
+/// [`STRONGER_FACTOR`] times its own.
+const MIN_LEADERSHIP_TIME: Duration = Duration::from_secs(3);
+const STRONGER_FACTOR: u8 = 2;
+/// Shortest time between two such resignations.
+const RESIGNATION_INTERVAL: Duration = Duration::from_secs(20);
+/// Time after such a resignation in which the instance does not claim the row.
+const CLAIM_PAUSE: Duration = Duration::from_millis(2500);
 
-/// The leader's row.
+/// Value of the leader's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct WireSeat {
+struct LeaderRowValue {
     /// Name of the leader.
     name: Name,
-    /// Run of the leader; empty after it gave the row up.
-    run: String,
-    /// Address for datagrams.
-    heartbeats: SocketAddr,
-    /// Milliseconds of the store's clock that the leader was told before it wrote.
-    #[serde(default)]
-    told: Option<u64>,
-    /// Milliseconds of the store's clock after which none of its grants is in force; said by one
-    /// that gives the row up.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    granted: Option<u64>,
+    /// Run id of the leader; empty after it released the row.
+    #[serde(rename = "run")]
+    run_id: String,
+    /// Address of the leader's UDP socket.
+    #[serde(rename = "heartbeats")]
+    udp_address: SocketAddr,
+    /// Time of the store's clock in milliseconds, as known to the leader before the write; its lease
+    /// counts from there.
+    #[serde(rename = "told", default)]
+    lease_start: Option<u64>,
+    /// Time of the store's clock in milliseconds after which none of the leader's grants is in force;
+    /// set only in a released row.
+    #[serde(rename = "granted", default, skip_serializing_if = "Option::is_none")]
+    grants_expire: Option<u64>,
 }
 
-/// Longest wait for the ends of grants that are under way when the row is given up, and the period
-/// in which these are looked at.
-const GRANTS_END: Duration = Duration::from_millis(300);
-const GRANTS_LOOK: Duration = Duration::from_millis(10);
+/// Longest wait for grants in flight before the row is released, and the interval at which they are
+/// polled.
+const GRANTS_TIMEOUT: Duration = Duration::from_millis(300);
+const GRANTS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How a record of owners ended.
+/// Outcome of a write of assignments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordingOutcome {
-    /// It is in the store.
+    /// The assignments are in the store.
     Recorded,
-    /// It is not, and will not be.
+    /// They are not in the store and will not be.
     NotRecorded,
-    /// It may be there, or come there as long as the leader's row keeps its version.
+    /// They may be in the store, or get there as long as the leader's row keeps its version.
     Unknown,
 }
 
-/// When the project's own rows were read, and how that went.
-struct Reads {
-    at: Instant,
-    pause: Duration,
+/// Schedule of the reads of the router's own table; the interval grows while they fail.
+struct ReadSchedule {
+    last_read: Instant,
+    interval: Duration,
 }
 
-impl Reads {
-    /// Returns whether the pause after the last one is over; an answer to any call cuts it short.
-    fn are_due(&self, context: &Context) -> bool {
-        let pause = if context.store_reachable.get() {
-            URGENT
+impl ReadSchedule {
+    /// Returns whether the next read is due; a response to any other call to the store makes it due
+    /// after the shortest interval.
+    fn is_due(&self, context: &Context) -> bool {
+        let interval = if context.store_reachable.get() {
+            MIN_READ_INTERVAL
         } else {
-            self.pause
+            self.interval
         };
-        self.at.elapsed() >= pause
+        self.last_read.elapsed() >= interval
     }
 
     async fn read(&mut self, context: &Context) {
-        self.at = Instant::now();
+        self.last_read = Instant::now();
         let answered = refresh_router_table(context).await;
-        self.pause = match answered {
-            true => URGENT,
-            false => (2 * self.pause).min(LONGEST_PAUSE),
+        self.interval = match answered {
+            true => MIN_READ_INTERVAL,
+            false => (2 * self.interval).min(MAX_READ_INTERVAL),
         };
     }
 }
 
-/// Looks after the leader's row for ever.
+/// Runs this instance's part in the election: claims, renews and releases the leader's row.
 pub async fn maintain(context: Rc<Context>) {
-    let begun = Instant::now();
-    let mut reads = Reads {
-        at: begun,
-        pause: URGENT,
+    let started_at = Instant::now();
+    let mut reads = ReadSchedule {
+        last_read: started_at,
+        interval: MIN_READ_INTERVAL,
     };
-    let (mut yields, mut handed) = (begun, None);
-    let delay = UNKNOWN_RANK.mul_f64(rand::random());
+    let (mut paused_until, mut last_resignation) = (started_at, None);
+    let random_delay = MAX_RANDOM_DELAY.mul_f64(rand::random());
     reads.read(&context).await;
     loop {
-        let led = context.is_leader();
-        let turn = turn(&context, delay);
-        let step = context
+        let was_leader = context.is_leader();
+        let claim_delay = claim_delay(&context, random_delay);
+        let action = context
             .election
             .borrow_mut()
-            .next_action(clock::local_time(), turn);
-        let searches =
-            !led && searches(&context) && reads.at.elapsed() >= SEARCH && reads.are_due(&context);
-        let free = yields <= Instant::now() && context.stopping_since.get().is_none();
-        match step {
-            ElectionAction::Write { version } if free => claim(&context, version).await,
-            ElectionAction::Read if reads.are_due(&context) => {
+            .next_action(clock::local_time(), claim_delay);
+        let is_search_due = !was_leader
+            && is_leader_missing(&context)
+            && reads.last_read.elapsed() >= SEARCH_INTERVAL
+            && reads.is_due(&context);
+        let can_claim = paused_until <= Instant::now() && context.stopping_since.get().is_none();
+        match action {
+            ElectionAction::Write { version } if can_claim => {
+                claim_or_renew(&context, version).await
+            }
+            ElectionAction::Read if reads.is_due(&context) => {
                 reads.read(&context).await;
                 continue;
             }
-            _ if searches => reads.read(&context).await,
+            _ if is_search_due => reads.read(&context).await,
             _ => {}
         }
         if context.is_leader() && context.leader_since.get().is_none() {
-            begin(&context).await;
+            start_leading(&context).await;
         }
         if context.leader_since.get().is_some() && !context.is_leader() {
             context.leader_since.set(None);
             context.record_event(events::LEADERSHIP_LOST, "lease not renewed".into());
         }
-        let again = handed.is_none_or(|at: Instant| at.elapsed() > HAND_OVER);
-        if again && hand_over(&context).await {
-            yields = Instant::now() + YIELD;
-            handed = Some(Instant::now());
+        let may_resign =
+            last_resignation.is_none_or(|at: Instant| at.elapsed() > RESIGNATION_INTERVAL);
+        if may_resign && resign_to_stronger(&context).await {
+            paused_until = Instant::now() + CLAIM_PAUSE;
+            last_resignation = Some(Instant::now());
         }
-        // Either the tick is over or the owners have to be read at once.
-        let told = timeout(TICK, context.refresh_requested.notified())
+        // Continues after the interval, or at once if another instance asks for a read of the table.
+        let is_requested = timeout(POLL_INTERVAL, context.refresh_requested.notified())
             .await
             .is_ok();
-        if told && !context.is_leader() && reads.are_due(&context) {
+        if is_requested && !context.is_leader() && reads.is_due(&context) {
             reads.read(&context).await;
         }
     }
 }
 
-/// Returns whether this instance looks for a leader: none was heard of late, and those before it
-/// have had their time to take the row.
-fn searches(context: &Context) -> bool {
-    let wait = HEARTBEAT_TIMEOUT + stagger(context, Duration::ZERO);
-    let heard = context.last_heartbeat.get();
-    heard.is_none_or(|heard| heard.elapsed() > wait)
+/// Returns whether no heartbeat has arrived for so long that the members before this one had time to
+/// claim the row.
+fn is_leader_missing(context: &Context) -> bool {
+    let timeout = HEARTBEAT_TIMEOUT + rank_delay(context, Duration::ZERO);
+    let last = context.last_heartbeat.get();
+    last.is_none_or(|last| last.elapsed() > timeout)
 }
 
-/// Returns when this instance takes a row that is free; `delay` is its own time to leave to others
-/// while it knows no members.
-fn turn(context: &Context, delay: Duration) -> ClaimDelay {
+/// Returns the delay of this instance's claim to a free row, which also applies to its own row if a
+/// much stronger member is known; `random_delay` counts while it has no rank.
+fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
     let strongest = context.membership.borrow().strongest(own);
     ClaimDelay {
-        duration: stagger(context, delay),
-        includes_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
+        duration: rank_delay(context, random_delay),
+        includes_own: strongest
+            .is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER_FACTOR)),
     }
 }
 
-/// Returns the time that this instance leaves to those before it.
-fn stagger(context: &Context, delay: Duration) -> Duration {
+/// Returns the time for which this instance waits for the members before it.
+fn rank_delay(context: &Context, random_delay: Duration) -> Duration {
     let own = context.settings.listen.heartbeats;
-    let weak = membership::weight(context.settings.cpu) < STRONG;
+    let is_weak = membership::weight(context.settings.cpu) < STRONG_WEIGHT;
     match context.membership.borrow().rank(own) {
-        Some(rank) => (STAGGER * rank as u32).min(LONGEST_STAGGER),
-        None if weak => FIRST + delay,
-        None => delay,
+        Some(rank) => (DELAY_PER_RANK * rank as u32).min(MAX_RANK_DELAY),
+        None if is_weak => WEAK_DELAY + random_delay,
+        None => random_delay,
     }
 }
 
-/// Hands over to a much stronger member, if there is one; returns whether it did.
-async fn hand_over(context: &Context) -> bool {
-    let settled = context.leader_since.get();
-    if !context.is_leader() || settled.is_none_or(|since| since.elapsed() < SETTLED) {
+/// Releases the leader's row if a much stronger member could lead; returns whether it did.
+async fn resign_to_stronger(context: &Context) -> bool {
+    let leader_since = context.leader_since.get();
+    if !context.is_leader()
+        || leader_since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME)
+    {
         return false;
     }
     let own = membership::weight(context.settings.cpu);
     let successor = leader_loop::find_successor(context);
-    let stronger = successor.is_some_and(|it| it.weight >= own.saturating_mul(STRONGER));
-    if stronger {
-        give_up(context, "handed over to a stronger one").await;
+    let is_stronger = successor.is_some_and(|it| it.weight >= own.saturating_mul(STRONGER_FACTOR));
+    if is_stronger {
+        release_row(context, "resigned for a stronger instance").await;
     }
-    stronger
+    is_stronger
 }
 
-/// Reads the project's own rows; returns whether the store answered.
+/// Reads the router's own table and applies its rows; returns whether the store answered.
 pub async fn refresh_router_table(context: &Context) -> bool {
-    let _one = context.write_lock.lock().await;
+    let _guard = context.write_lock.lock().await;
     let sent = clock::local_time();
-    let read = context.router_store.read_table(ROUTER_TABLE, LIMIT).await;
-    context.metrics.count_store_call("owners", read.is_ok());
-    context.set_store_reachable(read.is_ok());
-    let Ok(rows) = read else {
+    let result = context
+        .router_store
+        .read_table(ROUTER_TABLE, STORE_TIMEOUT)
+        .await;
+    context.metrics.count_store_call("owners", result.is_ok());
+    context.set_store_reachable(result.is_ok());
+    let Ok(rows) = result else {
         return false;
     };
-    see(context, &rows, sent);
+    apply_leader_row(context, &rows, sent);
     for row in &rows.rows {
         if let Some(service) = row.key.strip_prefix(OWNERS_PREFIX) {
-            adopt(context, service, row, &rows.rows);
+            apply_assignments(context, service, row, &rows.rows);
         }
     }
     true
 }
 
-/// Takes the leader's row as the store has it.
-fn see(context: &Context, rows: &RowSet, sent: LocalTime) {
-    let row = rows.rows.iter().find(|row| row.key == SEAT_KEY);
-    let mark = rows.store_time.map(|store| StoreTimestamp {
-        store_time: store,
+/// Applies the leader's row from a response of the store to a call that started at `sent`.
+fn apply_leader_row(context: &Context, rows: &RowSet, sent: LocalTime) {
+    let row = rows.rows.iter().find(|row| row.key == LEADER_KEY);
+    let timestamp = rows.store_time.map(|time| StoreTimestamp {
+        store_time: time,
         sent_at: sent,
     });
     let value = row.and_then(|row| row.value.as_deref());
-    let wire: Option<WireSeat> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let own = wire.as_ref().is_some_and(|it| it.run == context.run_id);
-    let seat = LeaderRow {
+    let value: Option<LeaderRowValue> = value.and_then(|value| serde_json::from_slice(value).ok());
+    let own = value.as_ref().is_some_and(|it| it.run_id == context.run_id);
+    let leader_row = LeaderRow {
         version: row.map_or(0, |row| row.version),
         is_own: own,
-        released: wire.as_ref().is_none_or(|it| it.run.is_empty()),
-        lease_start: wire
+        released: value.as_ref().is_none_or(|it| it.run_id.is_empty()),
+        lease_start: value
             .as_ref()
-            .and_then(|it| it.told)
+            .and_then(|it| it.lease_start)
             .map(Duration::from_millis),
     };
-    let granted = wire.as_ref().and_then(|it| grants_end(context, it));
-    context.observed_row.set(Some((seat.version, granted)));
+    let grants_expire = value.as_ref().and_then(|it| grants_expiry(context, it));
+    context
+        .observed_row
+        .set(Some((leader_row.version, grants_expire)));
     context
         .election
         .borrow_mut()
-        .apply_row(seat, clock::local_time(), mark);
-    if let Some(wire) = wire.filter(|_| !own) {
-        context.leader_address.set(Some(wire.heartbeats));
+        .apply_row(leader_row, clock::local_time(), timestamp);
+    if let Some(value) = value.filter(|_| !own) {
+        context.leader_address.set(Some(value.udp_address));
     }
 }
 
-/// Returns the time of the store's clock after which none of a leader's grants is in force: as it
-/// said when it gave its row up, or else that of a grant sent at the end of its lease.
-fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
-    let said = row.granted.map(Duration::from_millis);
-    let longest = max_grant_lifetime(
+/// Returns the time of the store's clock after which none of a leader's grants is in force: the time
+/// in a released row, or else the latest expiry of a grant sent at the end of the lease.
+fn grants_expiry(context: &Context, row: &LeaderRowValue) -> Option<Duration> {
+    let recorded = row.grants_expire.map(Duration::from_millis);
+    let max_lifetime = max_grant_lifetime(
         context.bounds.borrow().max_ttl,
         command_sender::DELIVERY_LIMIT,
     );
-    said.or_else(|| Some(Duration::from_millis(row.told?) + LEASE_TTL + longest))
+    recorded.or_else(|| Some(Duration::from_millis(row.lease_start?) + LEASE_TTL + max_lifetime))
 }
 
-/// Takes over owners that are not older than those at hand: a row tells more than heartbeats.
-fn adopt(context: &Context, service: &str, row: &Row, all: &[Row]) {
+/// Applies a service's assignments from the store unless a later version is known. The same version is
+/// replaced, too, as a row contains more than heartbeats do.
+fn apply_assignments(context: &Context, service: &str, row: &Row, all_rows: &[Row]) {
     let mut owners = context.owners.borrow_mut();
     let known = owners.get_mut(service);
     if known.as_ref().is_some_and(|it| it.version > row.version) {
         return;
     }
-    let (table, addresses) = match read(service, row, all) {
-        Ok(read) => read,
+    let (table, addresses) = match decode_table(service, row, all_rows) {
+        Ok(decoded) => decoded,
         Err(cause) => {
-            let detail = format!("owners of {service}, version {}: {cause}", row.version);
+            let detail = format!("assignments of {service}, version {}: {cause}", row.version);
             return context.record_event(events::ROW_INVALID, detail);
         }
     };
@@ -290,7 +309,7 @@
         return;
     }
     let detail = format!(
-        "service {service}, version {}, {} pieces",
+        "service {service}, version {}, {} assignments",
         row.version,
         table.assignments.len()
     );
@@ -307,40 +326,44 @@
     context.routing_changed.notify_waiters();
 }
 
-/// Reads owners and their last known addresses.
-fn read(
+/// Decodes a service's assignments and the last known addresses of their owners.
+fn decode_table(
     service: &str,
     row: &Row,
-    all: &[Row],
+    all_rows: &[Row],
 ) -> Result<(AssignmentTable, Vec<(TargetIncarnation, SocketAddr)>), String> {
-    let wire = assignment_rows::decode(service, row, all)?;
-    let addresses = wire.addresses();
-    let table = AssignmentTable::try_from(wire).map_err(str::to_owned)?;
+    let value = assignment_rows::decode(service, row, all_rows)?;
+    let addresses = value.addresses();
+    let table = AssignmentTable::try_from(value).map_err(str::to_owned)?;
     Ok((table, addresses))
 }
 
-/// Takes or renews the leader's row.
-async fn claim(context: &Context, version: u64) {
-    let one = context.write_lock.lock().await;
-    let (led, sent) = (context.is_leader(), clock::local_time());
-    let said = said(context, sent);
-    let checks = [check(SEAT_KEY, version)];
-    let puts = [seat(context, said, None)];
-    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
-    drop(one);
-    context.metrics.count_store_call("lease", end.is_ok());
-    settle(context, (said, sent), &end);
-    if !led && context.is_leader() {
+/// Claims or renews the leader's row on the condition that it has this version.
+async fn claim_or_renew(context: &Context, version: u64) {
+    let guard = context.write_lock.lock().await;
+    let (was_leader, sent) = (context.is_leader(), clock::local_time());
+    let timestamp = timestamp_to_write(context, sent);
+    let checks = [version_check(LEADER_KEY, version)];
+    let writes = [leader_row_write(context, timestamp, None)];
+    let result = context
+        .router_store
+        .commit(&checks, &writes, STORE_TIMEOUT)
+        .await;
+    drop(guard);
+    context.metrics.count_store_call("lease", result.is_ok());
+    apply_write_result(context, (timestamp, sent), &result);
+    if !was_leader && context.is_leader() {
         context.leader_since.set(None);
-        let former = context.observed_row.get().filter(|it| it.0 == version);
+        // Grants of the previous leader are known to expire only if its row was the one replaced.
+        let previous = context.observed_row.get().filter(|it| it.0 == version);
         context
             .grants_expire
-            .set(former.and_then(|(_, until)| until));
+            .set(previous.and_then(|(_, grants_expire)| grants_expire));
     }
 }
 
-/// Begins to act as leader once the owners are known that the former leader recorded last.
-async fn begin(context: &Context) {
+/// Starts to act as leader once the assignments that the previous leader recorded last are read.
+async fn start_leading(context: &Context) {
     if !refresh_router_table(context).await || !context.is_leader() {
         return;
     }
@@ -354,11 +377,12 @@
     context.leader_work.notify_one();
 }
 
-/// Returns the time of the store's clock that a write says. Without one it says the beginning of
-/// the clock, so that its lease has run out and the next write says what this one's answer told.
-fn said(context: &Context, now: LocalTime) -> StoreTimestamp {
-    let mark = context.election.borrow().store_timestamp();
-    mark.unwrap_or(StoreTimestamp {
+/// Returns the store timestamp to write into the leader's row, from which the lease counts. If none is
+/// known, it is zero: that lease has expired already, and the response brings a timestamp for the next
+/// write.
+fn timestamp_to_write(context: &Context, now: LocalTime) -> StoreTimestamp {
+    let timestamp = context.election.borrow().store_timestamp();
+    timestamp.unwrap_or(StoreTimestamp {
         store_time: Duration::ZERO,
         sent_at: LocalTime {
             monotonic: now.monotonic,
@@ -367,67 +391,76 @@
     })
 }
 
-/// Takes the end of a write of the leader's row.
-fn settle(
+/// Applies the result of a write of the leader's row that contained `written` and was sent at `sent`.
+fn apply_write_result(
     context: &Context,
-    (said, sent): (StoreTimestamp, LocalTime),
-    end: &cowslip_adapter::Result<CommitOutcome>,
+    (written, sent): (StoreTimestamp, LocalTime),
+    result: &cowslip_adapter::Result<CommitOutcome>,
 ) {
-    match end {
+    match result {
         Ok(CommitOutcome::Committed {
             version,
             store_time: now,
         }) => {
-            let told = now.map_or(said, |store| StoreTimestamp {
-                store_time: store,
+            let answered = now.map_or(written, |time| StoreTimestamp {
+                store_time: time,
                 sent_at: sent,
             });
             context
                 .election
                 .borrow_mut()
-                .confirm_write(said, *version, told);
+                .confirm_write(written, *version, answered);
+        }
+        Ok(CommitOutcome::Conflict(rows)) => {
+            match rows.rows.iter().any(|it| it.key == LEADER_KEY) {
+                true => apply_leader_row(context, rows, sent),
+                false => context.election.borrow_mut().mark_write_unanswered(),
+            }
         }
-        Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == SEAT_KEY) {
-            true => see(context, rows, sent),
-            false => context.election.borrow_mut().mark_write_unanswered(),
-        },
         Err(error) if error.is_outcome_unknown() => {
             context.record_event(events::WRITE_UNANSWERED, error.to_string());
             context.election.borrow_mut().mark_write_unanswered();
         }
-        // Nothing was written: the next step tries again.
+        // Nothing was written; the election tries again.
         Err(error) => context.record_event(events::WRITE_REFUSED, error.to_string()),
     }
 }
 
-/// Records owners under the condition that this instance still is the leader.
+/// Records a service's assignments on the condition that this instance still leads and that `before`
+/// is the recorded version.
 pub async fn record_assignments(
     context: &Context,
     service: &Name,
     before: u64,
     table: &AssignmentTable,
 ) -> RecordingOutcome {
-    let one = context.write_lock.lock().await;
+    let guard = context.write_lock.lock().await;
     if !context.is_leader() {
         return RecordingOutcome::NotRecorded;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let held = context.election.borrow().row_version();
-    let wire = AssignmentRowValue::new(table, |life| context.target_address(life));
-    let Ok(mut puts) = assignment_rows::encode(service, &wire) else {
+    let row_version = context.election.borrow().row_version();
+    let value = AssignmentRowValue::new(table, |owner| context.target_address(owner));
+    let Ok(mut writes) = assignment_rows::encode(service, &value) else {
         return RecordingOutcome::NotRecorded;
     };
     let sent = clock::local_time();
-    let said = said(context, sent);
-    let checks = [check(SEAT_KEY, held), check(&key, before)];
-    puts.push(seat(context, said, None));
-    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
-    drop(one);
-    context.metrics.count_store_call("record", end.is_ok());
-    settle(context, (said, sent), &end);
-    match end {
+    let timestamp = timestamp_to_write(context, sent);
+    let checks = [
+        version_check(LEADER_KEY, row_version),
+        version_check(&key, before),
+    ];
+    writes.push(leader_row_write(context, timestamp, None));
+    let result = context
+        .router_store
+        .commit(&checks, &writes, STORE_TIMEOUT)
+        .await;
+    drop(guard);
+    context.metrics.count_store_call("record", result.is_ok());
+    apply_write_result(context, (timestamp, sent), &result);
+    match result {
         Ok(CommitOutcome::Committed { version, .. }) => {
-            took_effect(context, service, (before, version), table);
+            apply_recorded(context, service, (before, version), table);
             RecordingOutcome::Recorded
         }
         Ok(CommitOutcome::Conflict(_)) => RecordingOutcome::Unknown,
@@ -436,54 +469,62 @@
     }
 }
 
-/// Puts recorded owners in force on this instance, and keeps the difference for the others.
-fn took_effect(
+/// Applies recorded assignments on this instance and keeps the change for the other instances.
+fn apply_recorded(
     context: &Context,
     service: &Name,
     (before, version): (u64, u64),
     table: &AssignmentTable,
 ) {
     let mut owners = context.owners.borrow_mut();
-    let former = owners.get(service).filter(|it| it.version == before);
-    let change = former.map(|former| AssignmentChange {
+    let previous = owners.get(service).filter(|it| it.version == before);
+    let change = previous.map(|previous| AssignmentChange {
         base_version: before,
-        assignments: table.changes_since(&former.table),
+        assignments: table.changes_since(&previous.table),
         recorded_at: Instant::now(),
     });
-    let next = RecordedAssignments {
+    let recorded = RecordedAssignments {
         version,
         table: Rc::new(table.clone()),
         last_change: change,
     };
-    owners.insert(service.clone(), next);
+    owners.insert(service.clone(), recorded);
 }
 
-/// Gives the leader's row up for a stop, if this instance has it.
+/// Releases the leader's row before a shutdown, if this instance leads.
 pub async fn resign(context: &Context) {
     if context.is_leader() {
-        give_up(context, "given up for a stop").await;
+        release_row(context, "instance stops").await;
     }
 }
 
-/// Gives the leader's row up, and asks the strongest member to take it.
-async fn give_up(context: &Context, why: &str) {
-    let one = context.write_lock.lock().await;
+/// Releases the leader's row and notifies the strongest member that it can claim it.
+async fn release_row(context: &Context, reason: &str) {
+    let guard = context.write_lock.lock().await;
     let version = context.election.borrow().row_version();
-    // From here on no grant begins; those under way end before the row says when they have run out.
+    // No grant starts from here on. Those in flight have to end before the row is written, as it states
+    // when the last one expires.
     context.election.borrow_mut().step_down();
     context.leader_since.set(None);
-    let ends = Instant::now() + GRANTS_END;
-    while context.leader_state.borrow().has_grant_in_flight() && Instant::now() < ends {
-        sleep(GRANTS_LOOK).await;
+    let deadline = Instant::now() + GRANTS_TIMEOUT;
+    while context.leader_state.borrow().has_grant_in_flight() && Instant::now() < deadline {
+        sleep(GRANTS_POLL_INTERVAL).await;
     }
-    let checks = [check(SEAT_KEY, version)];
-    let said = said(context, clock::local_time());
-    let puts = [seat(context, said, Some(granted(context)))];
-    let end = context.router_store.commit(&checks, &puts, LIMIT).await;
-    drop(one);
-    let detail = match end {
-        Ok(_) => why.to_owned(),
-        Err(error) => format!("{why}, row not written: {error}"),
+    let checks = [version_check(LEADER_KEY, version)];
+    let timestamp = timestamp_to_write(context, clock::local_time());
+    let writes = [leader_row_write(
+        context,
+        timestamp,
+        Some(own_grants_expiry(context)),
+    )];
+    let result = context
+        .router_store
+        .commit(&checks, &writes, STORE_TIMEOUT)
+        .await;
+    drop(guard);
+    let detail = match result {
+        Ok(_) => reason.to_owned(),
+        Err(error) => format!("{reason}, row not released: {error}"),
     };
     context.record_event(events::LEADERSHIP_LOST, detail);
     if let Some(successor) = leader_loop::find_successor(context) {
@@ -491,35 +532,39 @@
     }
 }
 
-fn check(key: &str, version: u64) -> VersionCheck {
+fn version_check(key: &str, version: u64) -> VersionCheck {
     VersionCheck {
         key: key.into(),
         version,
     }
 }
 
-/// Returns the time of the store's clock after which none of this leader's grants is in force, if
-/// that is known.
-fn granted(context: &Context) -> Option<Duration> {
+/// Returns the time of the store's clock after which none of this leader's grants is in force; `None`
+/// if it is not known.
+fn own_grants_expiry(context: &Context) -> Option<Duration> {
     Some(context.store_time_bound()?.latest + leader_loop::remaining_grant_time(context)?)
 }
 
-/// Returns the leader's row as this instance writes it. One that gives it up says when none of its
-/// grants is in force any more, if it knows.
-fn seat(context: &Context, said: StoreTimestamp, given_up: Option<Option<Duration>>) -> RowWrite {
-    let wire = WireSeat {
+/// Returns the write of the leader's row by this instance. `release` is `Some` to release the row, with
+/// the time after which none of its grants is in force, if known.
+fn leader_row_write(
+    context: &Context,
+    timestamp: StoreTimestamp,
+    release: Option<Option<Duration>>,
+) -> RowWrite {
+    let value = LeaderRowValue {
         name: context.settings.name.clone(),
-        run: match given_up {
+        run_id: match release {
             None => context.run_id.clone(),
             Some(_) => String::new(),
         },
-        granted: given_up.flatten().map(|until| until.as_millis() as u64 + 1),
-        heartbeats: context.settings.listen.heartbeats,
-        told: Some(said.store_time.as_millis() as u64),
+        grants_expire: release.flatten().map(|until| until.as_millis() as u64 + 1),
+        udp_address: context.settings.listen.heartbeats,
+        lease_start: Some(timestamp.store_time.as_millis() as u64),
     };
     RowWrite {
-        key: SEAT_KEY.into(),
-        // A struct of texts always has a JSON form.
-        value: serde_json::to_vec(&wire).unwrap_or_default(),
+        key: LEADER_KEY.into(),
+        // Serialising strings and numbers does not fail.
+        value: serde_json::to_vec(&value).unwrap_or_default(),
     }
 }
