--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -354,13 +354,11 @@
         .collect();
     let mean = f64::from(service_times.iter().sum::<u32>()) / service_times.len().max(1) as f64;
     let speed = |id: &Name| match reports.service_times.get(id) {
-        Some(service_time) => {
-            (mean / f64::from(*service_time).max(1.0)).clamp(MIN_SPEED, MAX_SPEED)
-        }
+        Some(time) => (mean / f64::from(*time).max(1.0)).clamp(MIN_SPEED, MAX_SPEED),
         None => 1.0,
     };
     let slots = |id: &Name| targets.get(id).map_or(1, |it| it.target.slots) as f64;
-    let capacities = |cold: bool| {
+    let select = |cold: bool| {
         let chosen = statuses
             .iter()
             .filter(move |(_, it)| it.can_own && it.is_cold == cold);
@@ -368,12 +366,8 @@
             .map(|(id, _)| (id.clone(), slots(id) * speed(id)))
             .collect::<TargetCapacities>()
     };
-    let warm = capacities(false);
-    if warm.is_empty() {
-        capacities(true)
-    } else {
-        warm
-    }
+    let warm = select(false);
+    if warm.is_empty() { select(true) } else { warm }
 }
 
 /// Returns the owners that no longer report and whose address belongs to a target that started later.
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -23,7 +23,7 @@
 };
 
 /// Key of the leader's row.
-const LEADER_KEY: &str = "leader";
+const ROW_KEY: &str = "leader";
 /// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Longest time between two steps of the election.
@@ -49,7 +49,7 @@
 const MIN_LEADERSHIP_TIME: Duration = Duration::from_secs(3);
 const STRONGER_FACTOR: u8 = 2;
 /// Shortest time between two such resignations.
-const RESIGNATION_INTERVAL: Duration = Duration::from_secs(20);
+const RESIGN_INTERVAL: Duration = Duration::from_secs(20);
 /// Time after such a resignation in which the instance does not claim the row.
 const CLAIM_PAUSE: Duration = Duration::from_millis(2500);
 
@@ -59,23 +59,20 @@
     /// Name of the leader.
     name: Name,
     /// Run id of the leader; empty after it released the row.
-    #[serde(rename = "run")]
-    run_id: String,
+    run: String,
     /// Address of the leader's UDP socket.
-    #[serde(rename = "heartbeats")]
-    udp_address: SocketAddr,
-    /// Time of the store's clock in milliseconds, as known to the leader before the write; its lease
-    /// counts from there.
-    #[serde(rename = "told", default)]
+    heartbeats: SocketAddr,
+    /// Milliseconds of the store's clock, read before the write, from which the lease counts.
+    #[serde(rename = "told")]
+    #[serde(default)]
     lease_start: Option<u64>,
-    /// Time of the store's clock in milliseconds after which none of the leader's grants is in force;
-    /// set only in a released row.
-    #[serde(rename = "granted", default, skip_serializing_if = "Option::is_none")]
+    /// Milliseconds of the store's clock after which no grant is in force; only in a released row.
+    #[serde(rename = "granted")]
+    #[serde(default, skip_serializing_if = "Option::is_none")]
     grants_expire: Option<u64>,
 }
 
-/// Longest wait for grants in flight before the row is released, and the interval at which they are
-/// polled.
+/// Longest wait for grants in flight before the row is released, and its polling interval.
 const GRANTS_TIMEOUT: Duration = Duration::from_millis(300);
 const GRANTS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -97,8 +94,7 @@
 }
 
 impl ReadSchedule {
-    /// Returns whether the next read is due; a response to any other call to the store makes it due
-    /// after the shortest interval.
+    /// Returns whether a read is due; while the store answers, the shortest interval applies.
     fn is_due(&self, context: &Context) -> bool {
         let interval = if context.store_reachable.get() {
             MIN_READ_INTERVAL
@@ -141,9 +137,7 @@
             && reads.is_due(&context);
         let can_claim = paused_until <= Instant::now() && context.stopping_since.get().is_none();
         match action {
-            ElectionAction::Write { version } if can_claim => {
-                claim_or_renew(&context, version).await
-            }
+            ElectionAction::Write { version } if can_claim => claim(&context, version).await,
             ElectionAction::Read if reads.is_due(&context) => {
                 reads.read(&context).await;
                 continue;
@@ -158,8 +152,7 @@
             context.leader_since.set(None);
             context.record_event(events::LEADERSHIP_LOST, "lease not renewed".into());
         }
-        let may_resign =
-            last_resignation.is_none_or(|at: Instant| at.elapsed() > RESIGNATION_INTERVAL);
+        let may_resign = last_resignation.is_none_or(|at: Instant| at.elapsed() > RESIGN_INTERVAL);
         if may_resign && resign_to_stronger(&context).await {
             paused_until = Instant::now() + CLAIM_PAUSE;
             last_resignation = Some(Instant::now());
@@ -174,8 +167,7 @@
     }
 }
 
-/// Returns whether no heartbeat has arrived for so long that the members before this one had time to
-/// claim the row.
+/// Returns whether there has been no heartbeat while the members before this one could claim the row.
 fn is_leader_missing(context: &Context) -> bool {
     let timeout = HEARTBEAT_TIMEOUT + rank_delay(context, Duration::ZERO);
     let last = context.last_heartbeat.get();
@@ -187,11 +179,10 @@
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
-    let strongest = context.membership.borrow().strongest(own);
+    let other = context.membership.borrow().strongest(own);
     ClaimDelay {
         duration: rank_delay(context, random_delay),
-        includes_own: strongest
-            .is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER_FACTOR)),
+        includes_own: other.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER_FACTOR)),
     }
 }
 
@@ -208,10 +199,8 @@
 
 /// Releases the leader's row if a much stronger member could lead; returns whether it did.
 async fn resign_to_stronger(context: &Context) -> bool {
-    let leader_since = context.leader_since.get();
-    if !context.is_leader()
-        || leader_since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME)
-    {
+    let since = context.leader_since.get();
+    if !context.is_leader() || since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
         return false;
     }
     let own = membership::weight(context.settings.cpu);
@@ -247,39 +236,37 @@
 
 /// Applies the leader's row from a response of the store to a call that started at `sent`.
 fn apply_leader_row(context: &Context, rows: &RowSet, sent: LocalTime) {
-    let row = rows.rows.iter().find(|row| row.key == LEADER_KEY);
+    let row = rows.rows.iter().find(|row| row.key == ROW_KEY);
     let timestamp = rows.store_time.map(|time| StoreTimestamp {
         store_time: time,
         sent_at: sent,
     });
     let value = row.and_then(|row| row.value.as_deref());
     let value: Option<LeaderRowValue> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let own = value.as_ref().is_some_and(|it| it.run_id == context.run_id);
-    let leader_row = LeaderRow {
+    let own = value.as_ref().is_some_and(|it| it.run == context.run_id);
+    let stored = LeaderRow {
         version: row.map_or(0, |row| row.version),
         is_own: own,
-        released: value.as_ref().is_none_or(|it| it.run_id.is_empty()),
+        released: value.as_ref().is_none_or(|it| it.run.is_empty()),
         lease_start: value
             .as_ref()
             .and_then(|it| it.lease_start)
             .map(Duration::from_millis),
     };
-    let grants_expire = value.as_ref().and_then(|it| grants_expiry(context, it));
-    context
-        .observed_row
-        .set(Some((leader_row.version, grants_expire)));
+    let grants_end = value.as_ref().and_then(|it| grants_end(context, it));
+    context.observed_row.set(Some((stored.version, grants_end)));
     context
         .election
         .borrow_mut()
-        .apply_row(leader_row, clock::local_time(), timestamp);
+        .apply_row(stored, clock::local_time(), timestamp);
     if let Some(value) = value.filter(|_| !own) {
-        context.leader_address.set(Some(value.udp_address));
+        context.leader_address.set(Some(value.heartbeats));
     }
 }
 
 /// Returns the time of the store's clock after which none of a leader's grants is in force: the time
 /// in a released row, or else the latest expiry of a grant sent at the end of the lease.
-fn grants_expiry(context: &Context, row: &LeaderRowValue) -> Option<Duration> {
+fn grants_end(context: &Context, row: &LeaderRowValue) -> Option<Duration> {
     let recorded = row.grants_expire.map(Duration::from_millis);
     let max_lifetime = max_grant_lifetime(
         context.bounds.borrow().max_ttl,
@@ -339,12 +326,12 @@
 }
 
 /// Claims or renews the leader's row on the condition that it has this version.
-async fn claim_or_renew(context: &Context, version: u64) {
+async fn claim(context: &Context, version: u64) {
     let guard = context.write_lock.lock().await;
     let (was_leader, sent) = (context.is_leader(), clock::local_time());
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [version_check(LEADER_KEY, version)];
-    let writes = [leader_row_write(context, timestamp, None)];
+    let checks = [check(ROW_KEY, version)];
+    let writes = [new_row(context, timestamp, None)];
     let result = context
         .router_store
         .commit(&checks, &writes, STORE_TIMEOUT)
@@ -358,7 +345,7 @@
         let previous = context.observed_row.get().filter(|it| it.0 == version);
         context
             .grants_expire
-            .set(previous.and_then(|(_, grants_expire)| grants_expire));
+            .set(previous.and_then(|(_, grants_end)| grants_end));
     }
 }
 
@@ -377,9 +364,8 @@
     context.leader_work.notify_one();
 }
 
-/// Returns the store timestamp to write into the leader's row, from which the lease counts. If none is
-/// known, it is zero: that lease has expired already, and the response brings a timestamp for the next
-/// write.
+/// Returns the store timestamp for the leader's row. If none is known, it is zero: a lease from there
+/// has expired already, and the response brings a timestamp for the next write.
 fn timestamp_to_write(context: &Context, now: LocalTime) -> StoreTimestamp {
     let timestamp = context.election.borrow().store_timestamp();
     timestamp.unwrap_or(StoreTimestamp {
@@ -411,12 +397,10 @@
                 .borrow_mut()
                 .confirm_write(written, *version, answered);
         }
-        Ok(CommitOutcome::Conflict(rows)) => {
-            match rows.rows.iter().any(|it| it.key == LEADER_KEY) {
-                true => apply_leader_row(context, rows, sent),
-                false => context.election.borrow_mut().mark_write_unanswered(),
-            }
-        }
+        Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == ROW_KEY) {
+            true => apply_leader_row(context, rows, sent),
+            false => context.election.borrow_mut().mark_write_unanswered(),
+        },
         Err(error) if error.is_outcome_unknown() => {
             context.record_event(events::WRITE_UNANSWERED, error.to_string());
             context.election.borrow_mut().mark_write_unanswered();
@@ -446,11 +430,8 @@
     };
     let sent = clock::local_time();
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [
-        version_check(LEADER_KEY, row_version),
-        version_check(&key, before),
-    ];
-    writes.push(leader_row_write(context, timestamp, None));
+    let checks = [check(ROW_KEY, row_version), check(&key, before)];
+    writes.push(new_row(context, timestamp, None));
     let result = context
         .router_store
         .commit(&checks, &writes, STORE_TIMEOUT)
@@ -502,21 +483,16 @@
 async fn release_row(context: &Context, reason: &str) {
     let guard = context.write_lock.lock().await;
     let version = context.election.borrow().row_version();
-    // No grant starts from here on. Those in flight have to end before the row is written, as it states
-    // when the last one expires.
+    // No grant starts from here on. Those in flight end first, as the row states when all expire.
     context.election.borrow_mut().step_down();
     context.leader_since.set(None);
     let deadline = Instant::now() + GRANTS_TIMEOUT;
     while context.leader_state.borrow().has_grant_in_flight() && Instant::now() < deadline {
         sleep(GRANTS_POLL_INTERVAL).await;
     }
-    let checks = [version_check(LEADER_KEY, version)];
+    let checks = [check(ROW_KEY, version)];
     let timestamp = timestamp_to_write(context, clock::local_time());
-    let writes = [leader_row_write(
-        context,
-        timestamp,
-        Some(own_grants_expiry(context)),
-    )];
+    let writes = [new_row(context, timestamp, Some(own_grants_end(context)))];
     let result = context
         .router_store
         .commit(&checks, &writes, STORE_TIMEOUT)
@@ -532,38 +508,33 @@
     }
 }
 
-fn version_check(key: &str, version: u64) -> VersionCheck {
+fn check(key: &str, version: u64) -> VersionCheck {
     VersionCheck {
         key: key.into(),
         version,
     }
 }
 
-/// Returns the time of the store's clock after which none of this leader's grants is in force; `None`
-/// if it is not known.
-fn own_grants_expiry(context: &Context) -> Option<Duration> {
+/// Returns the time of the store's clock after which none of this leader's grants is in force.
+fn own_grants_end(context: &Context) -> Option<Duration> {
     Some(context.store_time_bound()?.latest + leader_loop::remaining_grant_time(context)?)
 }
 
-/// Returns the write of the leader's row by this instance. `release` is `Some` to release the row, with
-/// the time after which none of its grants is in force, if known.
-fn leader_row_write(
-    context: &Context,
-    timestamp: StoreTimestamp,
-    release: Option<Option<Duration>>,
-) -> RowWrite {
+/// Returns the leader's row to write. `release` is `Some` to release the row, with the time after which
+/// no grant of this leader is in force, if that is known.
+fn new_row(context: &Context, time: StoreTimestamp, release: Option<Option<Duration>>) -> RowWrite {
     let value = LeaderRowValue {
         name: context.settings.name.clone(),
-        run_id: match release {
+        run: match release {
             None => context.run_id.clone(),
             Some(_) => String::new(),
         },
         grants_expire: release.flatten().map(|until| until.as_millis() as u64 + 1),
-        udp_address: context.settings.listen.heartbeats,
-        lease_start: Some(timestamp.store_time.as_millis() as u64),
+        heartbeats: context.settings.listen.heartbeats,
+        lease_start: Some(time.store_time.as_millis() as u64),
     };
     RowWrite {
-        key: LEADER_KEY.into(),
+        key: ROW_KEY.into(),
         // Serialising strings and numbers does not fail.
         value: serde_json::to_vec(&value).unwrap_or_default(),
     }
