--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -63,12 +63,12 @@
     /// Address of the leader's UDP socket.
     heartbeats: SocketAddr,
     /// Milliseconds of the store's clock, read before the write, from which the lease counts.
-    #[serde(rename = "told")]
     #[serde(default)]
+    #[serde(rename = "told")]
     lease_start: Option<u64>,
     /// Milliseconds of the store's clock after which no grant is in force; only in a released row.
-    #[serde(rename = "granted")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "granted")]
     grants_expire: Option<u64>,
 }
 
