--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -1,4 +1,4 @@
-//! Leadership: at most one instance acts at a time, whatever the store and the machines do.
+//! Leader election: at most one instance leads at a time, whatever fails in the store or the machines.
 
 mod seeds;
 
@@ -11,27 +11,27 @@
     tokio::time::Instant,
 };
 
-const TERM: Duration = Duration::from_millis(2400);
-const TICK: Duration = Duration::from_millis(50);
+const LEASE_TTL: Duration = Duration::from_millis(2400);
+const TICK_LENGTH: Duration = Duration::from_millis(50);
 
 /// One instance with its own clocks.
 struct Machine {
-    lead: LeaderElection,
+    election: LeaderElection,
     monotonic: Instant,
     since_boot: Duration,
-    frozen: u32,
-    turn: ClaimDelay,
+    suspended_ticks: u32,
+    claim_delay: ClaimDelay,
 }
 
-/// The row: its version and the machine that wrote it.
+/// The row in the store: its version and the machine that wrote it.
 #[derive(Default)]
-struct Row {
+struct StoreRow {
     version: u64,
     writer: Option<usize>,
-    marked: Option<Duration>,
-    /// Writes whose answer was lost and that are carried out later: tick, condition, writer, time
-    /// that they say.
-    late: Vec<(u32, u64, usize, Duration)>,
+    lease_start: Option<Duration>,
+    /// Writes without an answer that are carried out later: tick, expected version, writer, lease
+    /// start.
+    delayed: Vec<(u32, u64, usize, Duration)>,
 }
 
 impl Machine {
@@ -43,196 +43,207 @@
     }
 }
 
-impl Row {
-    fn seat(&self, reader: usize) -> LeaderRow {
+impl StoreRow {
+    /// Returns the row as `reader` reads it.
+    fn view(&self, reader: usize) -> LeaderRow {
         LeaderRow {
             version: self.version,
             is_own: self.writer == Some(reader),
             released: false,
-            lease_start: self.marked,
+            lease_start: self.lease_start,
         }
     }
 
-    fn write(&mut self, version: u64, writer: usize, said: Duration) -> bool {
+    fn write(&mut self, version: u64, writer: usize, start: Duration) -> bool {
         if self.version != version {
             return false;
         }
         self.version += 1;
         self.writer = Some(writer);
-        self.marked = Some(said);
+        self.lease_start = Some(start);
         true
     }
 }
 
-/// Returns the turn of an instance before which so many others come.
-fn turn(rank: u32) -> ClaimDelay {
+/// Returns the claim delay of an instance that so many others precede.
+fn claim_delay(position: u32) -> ClaimDelay {
     ClaimDelay {
-        duration: rank * Duration::from_millis(150),
-        includes_own: rank > 1,
+        duration: position * Duration::from_millis(150),
+        includes_own: position > 1,
     }
 }
 
-/// Plays two minutes; returns how many ticks had a leader.
-fn play(seed: u64) -> u32 {
+/// Simulates two minutes with store outages, lost answers, delayed writes and suspended machines;
+/// returns the number of ticks with a leader.
+fn simulate(seed: u64) -> u32 {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
-    let mut row = Row::default();
+    let mut row = StoreRow::default();
     let mut machines: Vec<Machine> = (0..4)
-        .map(|rank| Machine {
-            lead: LeaderElection::new(TERM),
+        .map(|position| Machine {
+            election: LeaderElection::new(LEASE_TTL),
             monotonic: start,
             since_boot: Duration::ZERO,
-            frozen: 0,
-            turn: turn(rank),
+            suspended_ticks: 0,
+            claim_delay: claim_delay(position),
         })
         .collect();
-    let mut led = 0;
-    let (mut down, mut lossy) = (0u32, 0u32);
+    let mut led_ticks = 0;
+    let (mut outage_ticks, mut loss_ticks) = (0u32, 0u32);
     for tick in 0..2400u32 {
         if rng.random_bool(0.003) {
-            down = rng.random_range(1..200);
+            outage_ticks = rng.random_range(1..200);
         }
         if rng.random_bool(0.004) {
-            lossy = rng.random_range(1..150);
+            loss_ticks = rng.random_range(1..150);
         }
-        (down, lossy) = (down.saturating_sub(1), lossy.saturating_sub(1));
-        let (due, rest) = row.late.iter().partition(|(at, ..)| *at <= tick);
-        row.late = rest;
+        (outage_ticks, loss_ticks) = (outage_ticks.saturating_sub(1), loss_ticks.saturating_sub(1));
+        let (due, remaining) = row
+            .delayed
+            .iter()
+            .partition(|(due_tick, ..)| *due_tick <= tick);
+        row.delayed = remaining;
         let due: Vec<(u32, u64, usize, Duration)> = due;
-        for (_, version, writer, said) in due {
-            row.write(version, writer, said);
+        for (_, version, writer, written) in due {
+            row.write(version, writer, written);
         }
-        for (at, machine) in machines.iter_mut().enumerate() {
-            machine.since_boot += TICK;
-            if machine.frozen > 0 {
-                machine.frozen -= 1;
+        for (index, machine) in machines.iter_mut().enumerate() {
+            machine.since_boot += TICK_LENGTH;
+            if machine.suspended_ticks > 0 {
+                machine.suspended_ticks -= 1;
                 continue;
             }
-            machine.monotonic += TICK;
+            machine.monotonic += TICK_LENGTH;
             if rng.random_bool(0.002) {
-                machine.frozen = rng.random_range(1..160);
+                machine.suspended_ticks = rng.random_range(1..160);
                 continue;
             }
             let now = machine.now();
-            let step = machine.lead.next_action(now, machine.turn);
-            // The call was sent a little before the store answered it.
-            let told = StoreTimestamp {
-                store_time: TICK * tick,
+            let action = machine.election.next_action(now, machine.claim_delay);
+            // The call is sent at the local time `now`, before the store answers.
+            let time = StoreTimestamp {
+                store_time: TICK_LENGTH * tick,
                 sent_at: now,
             };
-            if down > 0 {
+            if outage_ticks > 0 {
                 continue;
             }
-            match step {
+            match action {
                 ElectionAction::Wait if rng.random_bool(0.2) => {
-                    machine.lead.apply_row(row.seat(at), now, Some(told))
+                    machine.election.apply_row(row.view(index), now, Some(time))
                 }
                 ElectionAction::Wait => {}
-                ElectionAction::Read => machine.lead.apply_row(row.seat(at), now, Some(told)),
+                ElectionAction::Read => {
+                    machine.election.apply_row(row.view(index), now, Some(time))
+                }
                 ElectionAction::Write { version } => {
-                    let Some(said) = machine.lead.store_timestamp() else {
-                        machine.lead.apply_row(row.seat(at), now, Some(told));
+                    let Some(written) = machine.election.store_timestamp() else {
+                        machine.election.apply_row(row.view(index), now, Some(time));
                         continue;
                     };
-                    if lossy > 0 && rng.random_bool(0.4) {
-                        machine.lead.mark_write_unanswered();
+                    if loss_ticks > 0 && rng.random_bool(0.4) {
+                        machine.election.mark_write_unanswered();
                         if rng.random_bool(0.5) {
-                            row.write(version, at, said.store_time);
+                            row.write(version, index, written.store_time);
                             continue;
                         }
-                        let later = tick + rng.random_range(20..120);
-                        row.late.push((later, version, at, said.store_time));
-                    } else if row.write(version, at, said.store_time) {
-                        // The machine may be suspended while the answer is on its way.
-                        machine.lead.confirm_write(said, row.version, told);
+                        let due_tick = tick + rng.random_range(20..120);
+                        row.delayed
+                            .push((due_tick, version, index, written.store_time));
+                    } else if row.write(version, index, written.store_time) {
+                        // The machine may be suspended while it waits for the answer.
+                        machine.election.confirm_write(written, row.version, time);
                     } else {
-                        machine.lead.apply_row(row.seat(at), now, Some(told));
+                        machine.election.apply_row(row.view(index), now, Some(time));
                     }
                 }
             }
         }
-        let acting: Vec<usize> = (0..machines.len())
-            .filter(|at| machines[*at].lead.is_leader(machines[*at].now()))
+        let leaders: Vec<usize> = (0..machines.len())
+            .filter(|index| machines[*index].election.is_leader(machines[*index].now()))
             .collect();
         assert!(
-            acting.len() < 2,
-            "seed {seed}: {acting:?} lead at tick {tick}"
+            leaders.len() < 2,
+            "seed {seed}: instances {leaders:?} lead at tick {tick}"
         );
-        led += acting.len() as u32;
+        led_ticks += leaders.len() as u32;
     }
-    led
+    led_ticks
 }
 
 #[test]
 fn at_most_one_instance_leads() {
     for seed in 0..seeds::count(300) {
-        assert!(play(seed) > 600, "seed {seed}: hardly any leader");
+        assert!(
+            simulate(seed) > 600,
+            "seed {seed}: too few ticks with a leader"
+        );
     }
 }
 
 #[test]
 fn a_machine_that_was_suspended_does_not_act_on_its_old_lease() {
     let start = Instant::now();
-    let mut lead = LeaderElection::new(TERM);
+    let mut election = LeaderElection::new(LEASE_TTL);
     let before = LocalTime {
         monotonic: start,
         since_boot: Duration::ZERO,
     };
-    let mark = StoreTimestamp {
+    let timestamp = StoreTimestamp {
         store_time: Duration::ZERO,
         sent_at: before,
     };
-    lead.confirm_write(mark, 1, mark);
-    assert!(lead.is_leader(before));
+    election.confirm_write(timestamp, 1, timestamp);
+    assert!(election.is_leader(before));
     let after = LocalTime {
         monotonic: start,
-        since_boot: TERM,
+        since_boot: LEASE_TTL,
     };
-    assert!(!lead.is_leader(after));
+    assert!(!election.is_leader(after));
     assert_eq!(
-        lead.next_action(after, ClaimDelay::default()),
+        election.next_action(after, ClaimDelay::default()),
         ElectionAction::Read
     );
 }
 
 #[test]
-fn a_version_that_was_heard_counts_as_seen() {
+fn a_version_from_a_heartbeat_counts_as_known() {
     let start = Instant::now();
-    let at = |millis: u64| LocalTime {
+    let local_time = |millis: u64| LocalTime {
         monotonic: start + Duration::from_millis(millis),
         since_boot: Duration::from_millis(millis),
     };
-    let mut lead = LeaderElection::new(TERM);
-    lead.apply_heartbeat(7, at(0));
+    let mut election = LeaderElection::new(LEASE_TTL);
+    election.apply_heartbeat(7, local_time(0));
     assert_eq!(
-        lead.next_action(at(2300), ClaimDelay::default()),
+        election.next_action(local_time(2300), ClaimDelay::default()),
         ElectionAction::Wait
     );
-    // A time of the store's clock comes first: the write has to say one.
+    // The write has to contain a recent store timestamp, so a read comes first.
     assert_eq!(
-        lead.next_action(at(2400), ClaimDelay::default()),
+        election.next_action(local_time(2400), ClaimDelay::default()),
         ElectionAction::Read
     );
-    let seat = LeaderRow {
+    let row = LeaderRow {
         version: 7,
         is_own: false,
         released: false,
         lease_start: None,
     };
-    let mark = StoreTimestamp {
+    let timestamp = StoreTimestamp {
         store_time: Duration::from_secs(50),
-        sent_at: at(2400),
+        sent_at: local_time(2400),
     };
-    lead.apply_row(seat, at(2400), Some(mark));
-    let step = lead.next_action(at(2400), ClaimDelay::default());
-    assert_eq!(step, ElectionAction::Write { version: 7 });
+    election.apply_row(row, local_time(2400), Some(timestamp));
+    let action = election.next_action(local_time(2400), ClaimDelay::default());
+    assert_eq!(action, ElectionAction::Write { version: 7 });
 }
 
-/// The time of the store's clock that a write says must not be older than the row that it replaces.
+/// A claim must not contain a store timestamp that is older than the row it replaces.
 #[test]
-fn a_version_that_was_only_heard_is_not_replaced() {
+fn a_version_known_only_from_a_heartbeat_is_not_replaced() {
     let start = Instant::now();
-    let at = |millis: u64| LocalTime {
+    let local_time = |millis: u64| LocalTime {
         monotonic: start + Duration::from_millis(millis),
         since_boot: Duration::from_millis(millis),
     };
@@ -242,94 +253,101 @@
         released: false,
         lease_start: Some(Duration::from_secs(50)),
     };
-    let told = StoreTimestamp {
+    let timestamp = StoreTimestamp {
         store_time: Duration::from_secs(51),
-        sent_at: at(0),
+        sent_at: local_time(0),
     };
-    let mut lead = LeaderElection::new(TERM);
-    lead.apply_row(row, at(0), Some(told));
-    lead.apply_heartbeat(7, at(100));
+    let mut election = LeaderElection::new(LEASE_TTL);
+    election.apply_row(row, local_time(0), Some(timestamp));
+    election.apply_heartbeat(7, local_time(100));
     for millis in (100..10_000).step_by(50) {
-        let step = lead.next_action(at(millis), ClaimDelay::default());
+        let action = election.next_action(local_time(millis), ClaimDelay::default());
         assert!(
-            !matches!(step, ElectionAction::Write { .. }),
+            !matches!(action, ElectionAction::Write { .. }),
             "after {millis} ms"
         );
     }
 }
 
 #[test]
-fn a_row_that_runs_out_is_taken_in_turn_after_a_last_look() {
+fn an_expired_row_is_claimed_after_the_delay_and_a_fresh_read() {
     let start = Instant::now();
-    let at = |millis: u64| LocalTime {
+    let local_time = |millis: u64| LocalTime {
         monotonic: start + Duration::from_millis(millis),
         since_boot: Duration::from_millis(millis),
     };
-    let row = |own| LeaderRow {
+    let row = |is_own| LeaderRow {
         version: 7,
-        is_own: own,
+        is_own,
         released: false,
         lease_start: Some(Duration::from_secs(50)),
     };
-    // At the read 2,000 ms of the term of 2,400 have passed.
-    let told = StoreTimestamp {
+    // At the first read 2,000 ms of the lease TTL of 2,400 ms have passed.
+    let timestamp = StoreTimestamp {
         store_time: Duration::from_secs(52),
-        sent_at: at(0),
+        sent_at: local_time(0),
     };
-    for (rank, due) in [(0, 400), (1, 550)] {
-        let mut lead = LeaderElection::new(TERM);
-        lead.apply_row(row(false), at(0), Some(told));
+    for (position, due) in [(0, 400), (1, 550)] {
+        let mut election = LeaderElection::new(LEASE_TTL);
+        election.apply_row(row(false), local_time(0), Some(timestamp));
         assert_eq!(
-            lead.next_action(at(due - 1), turn(rank)),
+            election.next_action(local_time(due - 1), claim_delay(position)),
             ElectionAction::Wait
         );
         assert_eq!(
-            lead.next_action(at(due), turn(rank)),
+            election.next_action(local_time(due), claim_delay(position)),
             ElectionAction::Read,
-            "rank {rank}"
+            "position {position}"
         );
-        let look = StoreTimestamp {
-            store_time: told.store_time + Duration::from_millis(due),
-            sent_at: at(due),
+        let fresh_read = StoreTimestamp {
+            store_time: timestamp.store_time + Duration::from_millis(due),
+            sent_at: local_time(due),
         };
-        lead.apply_row(row(false), at(due), Some(look));
-        let step = lead.next_action(at(due), turn(rank));
-        assert_eq!(step, ElectionAction::Write { version: 7 }, "rank {rank}");
+        election.apply_row(row(false), local_time(due), Some(fresh_read));
+        let action = election.next_action(local_time(due), claim_delay(position));
+        assert_eq!(
+            action,
+            ElectionAction::Write { version: 7 },
+            "position {position}"
+        );
     }
-    // Its own row is taken again at once, unless much stronger ones are there.
-    let mut lead = LeaderElection::new(TERM);
-    lead.apply_row(row(true), at(0), Some(told));
-    let step = lead.next_action(at(0), turn(1));
-    assert_eq!(step, ElectionAction::Write { version: 7 });
-    assert_eq!(lead.next_action(at(0), turn(3)), ElectionAction::Wait);
+    // An instance claims its own row at once, unless its claim delay includes it.
+    let mut election = LeaderElection::new(LEASE_TTL);
+    election.apply_row(row(true), local_time(0), Some(timestamp));
+    let action = election.next_action(local_time(0), claim_delay(1));
+    assert_eq!(action, ElectionAction::Write { version: 7 });
+    assert_eq!(
+        election.next_action(local_time(0), claim_delay(3)),
+        ElectionAction::Wait
+    );
 }
 
 #[test]
-fn a_row_that_is_a_term_old_by_the_clock_of_the_store_is_taken_at_once() {
-    // After a loss of all instances none has seen the row for long.
+fn a_row_older_than_the_lease_ttl_by_the_store_clock_is_claimed_at_once() {
+    // After a restart of all instances none has known the row for a lease TTL.
     let now = LocalTime {
         monotonic: Instant::now(),
         since_boot: Duration::from_secs(100),
     };
-    let seat = LeaderRow {
+    let row = LeaderRow {
         version: 4,
         is_own: false,
         released: false,
         lease_start: Some(Duration::from_secs(50)),
     };
-    let told = |millis: u64| StoreTimestamp {
+    let timestamp = |millis: u64| StoreTimestamp {
         store_time: Duration::from_secs(50) + Duration::from_millis(millis),
         sent_at: now,
     };
-    let mut lead = LeaderElection::new(TERM);
-    lead.apply_row(seat.clone(), now, Some(told(2300)));
+    let mut election = LeaderElection::new(LEASE_TTL);
+    election.apply_row(row.clone(), now, Some(timestamp(2300)));
     assert_eq!(
-        lead.next_action(now, ClaimDelay::default()),
+        election.next_action(now, ClaimDelay::default()),
         ElectionAction::Wait
     );
-    lead.apply_row(seat, now, Some(told(2400)));
+    election.apply_row(row, now, Some(timestamp(2400)));
     assert_eq!(
-        lead.next_action(now, ClaimDelay::default()),
+        election.next_action(now, ClaimDelay::default()),
         ElectionAction::Write { version: 4 }
     );
 }
--- a/crates/decide/tests/seeds/mod.rs
+++ b/crates/decide/tests/seeds/mod.rs
@@ -1,7 +1,7 @@
-//! Number of seeds that fuzz tests play.
+//! Number of seeds for the simulations.
 
-/// Returns what `COWSLIP_FUZZ_SEEDS` says, or the usual number.
-pub fn count(usual: u64) -> u64 {
-    let said = std::env::var("COWSLIP_FUZZ_SEEDS").ok();
-    said.and_then(|it| it.parse().ok()).unwrap_or(usual)
+/// Returns the value of `COWSLIP_FUZZ_SEEDS`, or `default` if it is not set to a number.
+pub fn count(default: u64) -> u64 {
+    let setting = std::env::var("COWSLIP_FUZZ_SEEDS").ok();
+    setting.and_then(|it| it.parse().ok()).unwrap_or(default)
 }
--- a/crates/decide/tests/shares.rs
+++ b/crates/decide/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Bounds that all instances keep together, and splits by weight.
+//! Limits that all instances keep together, and traffic splits by weight.
 
 use {
     cowslip_decide::{
@@ -10,64 +10,68 @@
     tokio::time::Instant,
 };
 
-const BOUND: RetryBudget = RetryBudget {
+const BUDGET: RetryBudget = RetryBudget {
     ratio: 0.2,
     slack: 62.0,
     window: Duration::from_secs(10),
 };
 
-/// Plays `instances` that repeat whenever they may; returns the most repeats beyond the bound in
-/// any window.
-fn worst(instances: usize, requests: u64) -> f64 {
+/// Simulates `instances` that retry whenever they may and each get `requests` in a window; returns the
+/// greatest number of retries beyond the budget in any window.
+fn max_excess(instances: usize, requests: u64) -> f64 {
     let start = Instant::now();
-    let mut shares: Vec<RetryWindow> = (0..instances).map(|_| RetryWindow::new(start)).collect();
-    let (mut sent, mut asked) = (Vec::new(), Vec::new());
+    let mut windows: Vec<RetryWindow> = (0..instances).map(|_| RetryWindow::new(start)).collect();
+    let (mut retry_ticks, mut request_ticks) = (Vec::new(), Vec::new());
     for tick in 0..3000u64 {
         let now = start + Duration::from_millis(10 * tick);
-        for share in &mut shares {
+        for window in &mut windows {
             if tick % (1000 / requests) == 0 {
-                share.add_request(&BOUND, now);
-                asked.push(tick);
+                window.add_request(&BUDGET, now);
+                request_ticks.push(tick);
             }
-            while share.try_add_retry(&BOUND, instances as u32, now) {
-                sent.push(tick);
+            while window.try_add_retry(&BUDGET, instances as u32, now) {
+                retry_ticks.push(tick);
             }
         }
     }
-    let within = |ticks: &[u64], from: u64| {
+    let count_from = |ticks: &[u64], from: u64| {
         ticks
             .iter()
             .filter(|tick| (from..from + 1000).contains(tick))
             .count() as f64
     };
-    let over = |from: u64| within(&sent, from) - BOUND.ratio * within(&asked, from) - BOUND.slack;
-    (0..2000).step_by(50).map(over).fold(f64::MIN, f64::max)
+    let excess = |from: u64| {
+        count_from(&retry_ticks, from)
+            - BUDGET.ratio * count_from(&request_ticks, from)
+            - BUDGET.slack
+    };
+    (0..2000).step_by(50).map(excess).fold(f64::MIN, f64::max)
 }
 
 #[test]
-fn all_instances_together_keep_the_bound_on_repeats_in_every_window() {
+fn all_instances_together_stay_within_the_retry_budget_in_every_window() {
     for instances in [1, 3, 11] {
         for requests in [1, 10, 50] {
-            let over = worst(instances, requests);
+            let excess = max_excess(instances, requests);
             assert!(
-                over <= 0.0,
-                "{instances} instances, {requests}: {over} over"
+                excess <= 0.0,
+                "{instances} instances, {requests} requests each: {excess} retries too many"
             );
         }
     }
 }
 
 #[test]
-fn repeats_are_allowed_again_when_the_window_has_passed() {
+fn retries_are_allowed_again_after_the_window() {
     let start = Instant::now();
-    let mut share = RetryWindow::new(start);
-    while share.try_add_retry(&BOUND, 1, start) {}
-    let later = start + BOUND.window + BOUND.window / 5;
-    assert!(share.try_add_retry(&BOUND, 1, later));
+    let mut window = RetryWindow::new(start);
+    while window.try_add_retry(&BUDGET, 1, start) {}
+    let later = start + BUDGET.window + BUDGET.window / 5;
+    assert!(window.try_add_retry(&BUDGET, 1, later));
 }
 
 #[test]
-fn tokens_are_taken_at_their_rate() {
+fn tokens_are_available_at_the_rate() {
     let start = Instant::now();
     let mut tokens = TokenBucket::new(0.0, start);
     let mut taken = 0;
@@ -80,11 +84,11 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_over_short_spans() {
+fn a_split_follows_its_weights_over_100_requests() {
     let weights = [90.0, 10.0];
-    let mut dealer = TrafficSplitter::new(0.3);
-    let dealt = (0..100).filter_map(|_| dealer.next_index(weights.iter().copied()));
-    let second = dealt.filter(|at| *at == 1).count();
+    let mut splitter = TrafficSplitter::new(0.3);
+    let indices = (0..100).filter_map(|_| splitter.next_index(weights.iter().copied()));
+    let second = indices.filter(|index| *index == 1).count();
     assert!((9..=11).contains(&second), "{second}");
     assert_eq!(
         TrafficSplitter::new(0.0).next_index([0.0, 0.0].into_iter()),
@@ -93,11 +97,11 @@
 }
 
 quickcheck! {
-    fn a_part_without_weight_gets_nothing(place: f64, weights: Vec<u8>) -> bool {
-        let mut dealer = TrafficSplitter::new(place.abs().fract());
+    fn a_part_with_weight_0_gets_nothing(position: f64, weights: Vec<u8>) -> bool {
+        let mut splitter = TrafficSplitter::new(position.abs().fract());
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
-        (0..50).all(|_| match dealer.next_index(weights.iter().copied()) {
-            Some(at) => weights[at] > 0.0,
+        (0..50).all(|_| match splitter.next_index(weights.iter().copied()) {
+            Some(index) => weights[index] > 0.0,
             None => weights.iter().all(|it| *it == 0.0),
         })
     }
