--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -98,16 +98,13 @@
             loss_ticks = rng.random_range(1..150);
         }
         (outage_ticks, loss_ticks) = (outage_ticks.saturating_sub(1), loss_ticks.saturating_sub(1));
-        let (due, remaining) = row
-            .delayed
-            .iter()
-            .partition(|(due_tick, ..)| *due_tick <= tick);
+        let (due, remaining) = row.delayed.iter().partition(|(when, ..)| *when <= tick);
         row.delayed = remaining;
         let due: Vec<(u32, u64, usize, Duration)> = due;
         for (_, version, writer, written) in due {
             row.write(version, writer, written);
         }
-        for (index, machine) in machines.iter_mut().enumerate() {
+        for (id, machine) in machines.iter_mut().enumerate() {
             machine.since_boot += TICK_LENGTH;
             if machine.suspended_ticks > 0 {
                 machine.suspended_ticks -= 1;
@@ -130,37 +127,35 @@
             }
             match action {
                 ElectionAction::Wait if rng.random_bool(0.2) => {
-                    machine.election.apply_row(row.view(index), now, Some(time))
+                    machine.election.apply_row(row.view(id), now, Some(time))
                 }
                 ElectionAction::Wait => {}
-                ElectionAction::Read => {
-                    machine.election.apply_row(row.view(index), now, Some(time))
-                }
+                ElectionAction::Read => machine.election.apply_row(row.view(id), now, Some(time)),
                 ElectionAction::Write { version } => {
                     let Some(written) = machine.election.store_timestamp() else {
-                        machine.election.apply_row(row.view(index), now, Some(time));
+                        machine.election.apply_row(row.view(id), now, Some(time));
                         continue;
                     };
                     if loss_ticks > 0 && rng.random_bool(0.4) {
                         machine.election.mark_write_unanswered();
                         if rng.random_bool(0.5) {
-                            row.write(version, index, written.store_time);
+                            row.write(version, id, written.store_time);
                             continue;
                         }
                         let due_tick = tick + rng.random_range(20..120);
                         row.delayed
-                            .push((due_tick, version, index, written.store_time));
-                    } else if row.write(version, index, written.store_time) {
+                            .push((due_tick, version, id, written.store_time));
+                    } else if row.write(version, id, written.store_time) {
                         // The machine may be suspended while it waits for the answer.
                         machine.election.confirm_write(written, row.version, time);
                     } else {
-                        machine.election.apply_row(row.view(index), now, Some(time));
+                        machine.election.apply_row(row.view(id), now, Some(time));
                     }
                 }
             }
         }
         let leaders: Vec<usize> = (0..machines.len())
-            .filter(|index| machines[*index].election.is_leader(machines[*index].now()))
+            .filter(|id| machines[*id].election.is_leader(machines[*id].now()))
             .collect();
         assert!(
             leaders.len() < 2,
--- a/crates/decide/tests/shares.rs
+++ b/crates/decide/tests/shares.rs
@@ -64,10 +64,10 @@
 #[test]
 fn retries_are_allowed_again_after_the_window() {
     let start = Instant::now();
-    let mut window = RetryWindow::new(start);
-    while window.try_add_retry(&BUDGET, 1, start) {}
+    let mut retry_window = RetryWindow::new(start);
+    while retry_window.try_add_retry(&BUDGET, 1, start) {}
     let later = start + BUDGET.window + BUDGET.window / 5;
-    assert!(window.try_add_retry(&BUDGET, 1, later));
+    assert!(retry_window.try_add_retry(&BUDGET, 1, later));
 }
 
 #[test]
