--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -92,8 +92,9 @@
 impl AttemptHistory {
     /// Records how an attempt at a target ended and returns what to do next.
     ///
-    /// `take_retry` takes a retry out of the service's retry budget; it is called only if the
-    /// request may be sent again otherwise, and returns whether the budget allows it.
+    /// `take_retry` takes a retry out of the service's retry budget and returns whether the budget
+    /// allows it. It is called only if nothing else forbids the retry, and not for
+    /// [`AttemptOutcome::Unsent`], which costs targets nothing.
     pub fn record_attempt(
         &mut self,
         policy: RetryPolicy,
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -84,8 +84,9 @@
     row: Option<(LeaderRow, Instant)>,
     lease: Option<Lease>,
     store_timestamp: Option<StoreTimestamp>,
-    /// When the lease in the row ends or ended by the store's clock.
+    /// Local time at which the lease in the row ends or ended by the store's clock.
     row_expiry: Option<Instant>,
+    /// Whether the row may have changed: a write was not answered or the leadership was given up.
     needs_read: bool,
     epoch: u64,
 }
@@ -194,9 +195,9 @@
             .map_or(known_long, |expiry| expiry.min(known_long))
     }
 
-    /// Returns whether the store timestamp is recent enough for a claim. As a claim so follows a
-    /// read, most of the instances that find the row free at the same time read that one has
-    /// claimed it.
+    /// Returns whether the store timestamp is recent enough for a claim. It usually is only after
+    /// another read, by which most of the instances that find the row free at the same time learn
+    /// that one of them has claimed it.
     fn has_fresh_timestamp(&self, now: LocalTime) -> bool {
         let age = |timestamp: StoreTimestamp| {
             now.monotonic
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request: none runs twice unless idempotent, refusals are true, retries are bounded.
+//! Attempts of a request: it runs twice only if idempotent, and not if refused; retries are bounded.
 
 use {
     cowslip_decide::{
