--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -175,8 +175,8 @@
             return ElectionAction::Wait;
         }
         // A lease counts from the store timestamp in the row. If a claim contained one older than
-        // the row it replaces, the next reader of the row would also assume that the former leader's
-        // grants end earlier than they do.
+        // the row it replaces, the next reader of the row would also assume that the former
+        // leader's grants end earlier than they do.
         match self.lease.is_none() && !self.has_fresh_timestamp(now) {
             true => ElectionAction::Read,
             false => ElectionAction::Write {
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -80,8 +80,8 @@
 
 /// Token bucket of size 1: the rate limit of one instance at a cold target.
 ///
-/// `initial` lets instances start at different levels, so that those which find the same target cold
-/// do not all send at once.
+/// `initial` lets instances start at different levels, so that those which find the same target
+/// cold do not all send at once.
 #[derive(Debug)]
 pub struct TokenBucket {
     level: f64,
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request: it runs twice only if idempotent, and not if refused; retries are bounded.
+//! Attempts: a request runs twice only if idempotent, and not if refused; retries are limited.
 
 use {
     cowslip_decide::{
--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -1,4 +1,4 @@
-//! Leader election: at most one instance leads at a time, whatever fails in the store or the machines.
+//! Leader election: at most one instance leads at a time, whatever the store and machines do.
 
 mod seeds;
 
--- a/crates/decide/tests/shares.rs
+++ b/crates/decide/tests/shares.rs
@@ -16,8 +16,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Simulates `instances` that retry whenever they may and each get `requests` in a window; returns the
-/// greatest number of retries beyond the budget in any window.
+/// Simulates `instances` that retry whenever they may and each get `requests` in a window; returns
+/// the greatest number of retries beyond the budget in any window.
 fn max_excess(instances: usize, requests: u64) -> f64 {
     let start = Instant::now();
     let mut windows: Vec<RetryWindow> = (0..instances).map(|_| RetryWindow::new(start)).collect();
