--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -10,19 +10,20 @@
     tokio::time::Instant,
 };
 
-/// Attempts that did not run after which a further refusal goes to the caller.
+/// A refused attempt is retried only if at most this many attempts of the request, itself included,
+/// did not run.
 const MAX_REFUSALS: u32 = 3;
-/// The same for a further attempt without a connection or at a target that does not own the key;
-/// higher, as these attempts cost targets nothing.
+/// Like [`MAX_REFUSALS`], for an attempt without a connection or at a target that does not own the
+/// key. Higher, as these attempts cost targets nothing.
 const MAX_UNSENT: u32 = 2 * MAX_REFUSALS;
 /// Delay before a request is sent again to the owner of its key, which refused it.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(120);
-/// Delay before another connection to the owner of a key is tried, and longest wait for a new owner
-/// after a target answered that it does not own the key.
-const UNSENT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before a request without a connection to the owner of its key is retried, and longest delay
+/// before it is retried after a target answered that it does not own the key.
+const OWNER_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Part of the time until the deadline for which a request waits for an owner of its key.
 const OWNER_WAIT_RATIO: f64 = 0.4;
-/// Longest wait for an owner of a key.
+/// Longest total wait of a request while its key has no owner that takes requests.
 const MAX_OWNER_WAIT: Duration = Duration::from_millis(1200);
 
 /// Properties of a request that decide about its retries.
@@ -82,9 +83,11 @@
 /// Attempts of one request so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Targets that are no longer considered for the request, as others may serve it.
+    /// Targets that are no longer considered for the request; used only where others may serve it.
     pub excluded: Vec<Name>,
+    /// Attempts that may have run.
     run_count: u32,
+    /// Attempts that certainly did not run.
     not_run_count: u32,
     owner_wait_start: Option<Instant>,
 }
@@ -94,7 +97,7 @@
     ///
     /// `take_retry` takes a retry out of the service's retry budget and returns whether the budget
     /// allows it. It is called only if nothing else forbids the retry, and not for
-    /// [`AttemptOutcome::Unsent`], which costs targets nothing.
+    /// [`AttemptOutcome::Unsent`], which never reached a target.
     pub fn record_attempt(
         &mut self,
         policy: RetryPolicy,
@@ -120,7 +123,7 @@
                 NextAction::ReturnError(FinalError::TimedOut)
             }
             AttemptOutcome::NotOwner => match self.record_not_run(MAX_UNSENT) && take_retry() {
-                true => NextAction::RetryOnChange(UNSENT_RETRY_DELAY),
+                true => NextAction::RetryOnChange(OWNER_RETRY_DELAY),
                 false => NextAction::ReturnError(self.not_run_error(Reason::NoOwner)),
             },
             AttemptOutcome::Refused => match self.record_not_run(MAX_REFUSALS) && take_retry() {
@@ -128,13 +131,14 @@
                 false => NextAction::ReturnError(self.not_run_error(Reason::Shed)),
             },
             AttemptOutcome::Unsent => match self.record_not_run(MAX_UNSENT) {
-                true => self.retry_elsewhere(policy, target, UNSENT_RETRY_DELAY),
+                true => self.retry_elsewhere(policy, target, OWNER_RETRY_DELAY),
                 false => NextAction::ReturnError(self.not_run_error(Reason::Broken)),
             },
         }
     }
 
-    /// Returns the error for a request that is abandoned between two attempts.
+    /// Returns the error for a request that is abandoned between two attempts, such as at its
+    /// deadline. If an attempt may have run, this is [`FinalError::TimedOut`] for any reason.
     pub fn final_error(&self, reason: Reason) -> FinalError {
         match self.run_count {
             0 => FinalError::Refused(reason),
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Excludes a target from further attempts without counting one.
+    /// Excludes a target from further attempts without counting an attempt.
     pub fn exclude_target(&mut self, target: Name) {
         self.excluded.push(target);
     }
@@ -153,7 +157,7 @@
     }
 
     /// Starts or continues the wait for an owner of the key; returns when it ends, or `None` if the
-    /// request has waited long enough.
+    /// request has waited long enough. Only [`Self::clear_owner_wait`] resets the wait.
     pub fn poll_owner_wait(&mut self, deadline: Instant, now: Instant) -> Option<Instant> {
         let start = *self.owner_wait_start.get_or_insert(now);
         let remaining = deadline.saturating_duration_since(start);
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -4,21 +4,22 @@
 //! may act as leader for a part of the lease TTL from the call that returned this time, measured on
 //! a clock that also counts the time in which the machine was suspended. Another instance may claim
 //! the row once the store's clock is a whole TTL past the time in the row, or once it has known the
-//! same version for a TTL on its monotonic clock, which a suspension can only make longer. Each
-//! candidate delays its claim differently, so that usually the preferred one gets the row.
+//! same version for a TTL on its monotonic clock, which stops during a suspension and so can only
+//! lengthen the wait. Each candidate delays its claim differently, so that usually the preferred one
+//! gets the row.
 
 use {std::time::Duration, tokio::time::Instant};
 
 /// Part of the lease TTL for which the leader may act.
 ///
 /// The rest covers clocks that run at different rates and the delivery of a command to a target.
-const USABLE_RATIO: f64 = 0.9;
+const LEASE_USABLE_RATIO: f64 = 0.9;
 /// The leader renews after the lease TTL divided by this.
 const RENEWAL_DIVISOR: u32 = 4;
-/// Greatest age of the store timestamp in a claim.
+/// Greatest age of the store timestamp in a claim; an older one requires a read first.
 const MAX_TIMESTAMP_AGE: Duration = Duration::from_millis(100);
-/// While a renewal is late by no more than the lease TTL divided by this, the store counts as
-/// reachable.
+/// A write is expected to succeed while the renewal is late by no more than the lease TTL divided by
+/// this.
 const LATENESS_DIVISOR: u32 = 10;
 
 /// Local time on both clocks.
@@ -72,7 +73,7 @@
 pub struct ClaimDelay {
     /// Time that it leaves to other instances.
     pub duration: Duration,
-    /// Whether the delay also applies to a row that this instance wrote itself.
+    /// Whether the delay also applies to a row that this incarnation of the instance wrote.
     pub includes_own: bool,
 }
 
@@ -80,7 +81,7 @@
 #[derive(Debug)]
 pub struct LeaderElection {
     lease_ttl: Duration,
-    /// The row as last known, and since when its version has been known.
+    /// The row as last known, and when its version became known.
     row: Option<(LeaderRow, Instant)>,
     lease: Option<Lease>,
     store_timestamp: Option<StoreTimestamp>,
@@ -119,7 +120,7 @@
     /// Returns when this instance's lease ends, as time since the machine's start.
     pub fn lease_end(&self) -> Option<Duration> {
         let lease = self.lease.as_ref()?;
-        Some(lease.start.since_boot + self.lease_ttl.mul_f64(USABLE_RATIO))
+        Some(lease.start.since_boot + self.lease_ttl.mul_f64(LEASE_USABLE_RATIO))
     }
 
     /// Returns the latest known time of the store's clock, which the next write contains.
@@ -137,8 +138,8 @@
         self.row.as_ref().map_or(0, |(row, _)| row.version)
     }
 
-    /// Returns whether this instance leads and a renewal is overdue, so that the store may be
-    /// unreachable.
+    /// Returns whether this instance's renewal is late by a whole renewal period, so that the store
+    /// may be unreachable.
     pub fn is_renewal_overdue(&self, now: LocalTime) -> bool {
         let lease = self.lease.as_ref();
         lease.is_some_and(|lease| {
@@ -146,8 +147,8 @@
         })
     }
 
-    /// Returns whether a write would probably succeed: the last one was answered, and the next
-    /// renewal is not overdue.
+    /// Returns whether a write is expected to succeed: the last one was answered, and the renewal is
+    /// late by no more than the tolerance.
     pub fn is_store_writable(&self, now: LocalTime) -> bool {
         let lease = self.lease.as_ref().filter(|_| !self.needs_read);
         lease.is_some_and(|lease| {
@@ -223,7 +224,8 @@
             .map(|(timestamp, start)| timestamp.store_time.saturating_sub(start));
         let remaining = age.map(|age| self.lease_ttl.saturating_sub(age));
         let expiry = remaining.map(|remaining| now.monotonic + remaining);
-        // An unchanged row that had expired by an earlier read has been free since then.
+        // For an unchanged row the earlier time counts: if it had expired by an earlier read, it has
+        // been free since then.
         let unchanged = self.row.as_ref().is_some_and(|(known, _)| *known == row);
         let known_expiry = self.row_expiry.filter(|_| unchanged);
         self.row_expiry = known_expiry.into_iter().chain(expiry).min();
@@ -233,7 +235,8 @@
         self.set_row(row, now.monotonic);
     }
 
-    /// Applies the version of the row from a leader's heartbeat.
+    /// Applies the version of the row from a leader's heartbeat. An instance with a lease ignores
+    /// it, as its next conditional write fails if there is a later version.
     pub fn apply_heartbeat(&mut self, version: u64, now: LocalTime) {
         if version > self.row_version() && self.lease.is_none() {
             let row = LeaderRow {
@@ -247,26 +250,26 @@
         }
     }
 
-    /// Applies a successful write: the row contains `written` and has this version now. `answered`
-    /// is the later timestamp that came with the answer.
+    /// Applies a successful write: the row contains `row_timestamp` and has this version now.
+    /// `answer_timestamp` is the later one that came with the answer.
     pub fn confirm_write(
         &mut self,
-        written: StoreTimestamp,
+        row_timestamp: StoreTimestamp,
         version: u64,
-        answered: StoreTimestamp,
+        answer_timestamp: StoreTimestamp,
     ) {
         let row = LeaderRow {
             version,
             is_own: true,
             released: false,
-            lease_start: Some(written.store_time),
+            lease_start: Some(row_timestamp.store_time),
         };
-        self.set_row(row, answered.sent_at.monotonic);
-        self.store_timestamp = Some(answered);
+        self.set_row(row, answer_timestamp.sent_at.monotonic);
+        self.store_timestamp = Some(answer_timestamp);
         self.row_expiry = None;
-        let renewal_due = answered.sent_at.monotonic + self.lease_ttl / RENEWAL_DIVISOR;
+        let renewal_due = answer_timestamp.sent_at.monotonic + self.lease_ttl / RENEWAL_DIVISOR;
         self.lease = Some(Lease {
-            start: written.sent_at,
+            start: row_timestamp.sent_at,
             renewal_due,
         });
     }
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -1,11 +1,12 @@
-//! Limits that all instances keep together although each one counts only its own requests.
+//! Retry budget, of which each instance enforces its share, and token bucket for cold targets.
 
 use {std::time::Duration, tokio::time::Instant};
 
 /// Slices of the sliding window.
 const WINDOW_SLICES: usize = 10;
-/// Part of the budget that is used, as the instances do not know each other's requests.
-const USABLE_RATIO: f64 = 0.7;
+/// Part of the budget that is used; the rest is a margin, as the instances do not know each other's
+/// requests.
+const BUDGET_USABLE_RATIO: f64 = 0.7;
 
 /// Retry budget of a service within a sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,7 +52,7 @@
         let requests: u32 = self.requests.iter().sum();
         let retries: u32 = self.retries.iter().sum();
         let slack = budget.slack / f64::from(instances.max(1));
-        let limit = USABLE_RATIO * (budget.ratio * f64::from(requests) + slack);
+        let limit = BUDGET_USABLE_RATIO * (budget.ratio * f64::from(requests) + slack);
         if f64::from(retries + 1) > limit {
             return false;
         }
@@ -79,9 +80,6 @@
 }
 
 /// Token bucket of size 1: the rate limit of one instance at a cold target.
-///
-/// `initial` lets instances start at different levels, so that those which find the same target
-/// cold do not all send at once.
 #[derive(Debug)]
 pub struct TokenBucket {
     level: f64,
@@ -89,7 +87,8 @@
 }
 
 impl TokenBucket {
-    /// Creates a bucket with the level `initial`, 0 to 1.
+    /// Creates a bucket with the level `initial`, 0 to 1. With different levels, instances that find
+    /// the same target cold do not all send at once.
     pub fn new(initial: f64, now: Instant) -> Self {
         Self {
             level: initial,
--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -17,8 +17,8 @@
 
 /// Requests beyond its slots that a target gets while others wait, so that the next one is at hand
 /// when a slot becomes free.
-const EXTRA_REQUESTS: u32 = 1;
-/// Time after the deadline of its request at which a permit expires that was not returned.
+const REQUESTS_BEYOND_SLOTS: u32 = 1;
+/// Time from a request's deadline until its permit expires if it was not returned.
 const PERMIT_GRACE: Duration = Duration::from_millis(300);
 /// Time for which a target gets no requests after a failure to connect to it.
 const CONNECT_FAILURE_PAUSE: Duration = Duration::from_millis(700);
@@ -33,7 +33,7 @@
 /// Shortest time after which a refused caller is told to come back.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Identifies a permit request: the instance that asks, and its number for the request.
+/// Identifies a permit request: the instance that asks, and the number that it gave the request.
 pub type PermitRequestId<A> = (A, u64);
 
 /// Request of an instance for a permit.
@@ -41,7 +41,7 @@
 pub struct PermitRequest {
     /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Time up to which an answer is worth most.
+    /// End of the time within which an answer is worth most.
     pub latency_goal: Instant,
     /// Time by which the caller needs the answer.
     pub deadline: Instant,
@@ -172,7 +172,8 @@
         self.targets.get(target)?.service_time.seconds()
     }
 
-    /// Grants a permit, or queues or refuses the request; a repeated one gets its present reply.
+    /// Grants a permit, or queues or refuses the request; the reply to a repeated request tells its
+    /// current state.
     pub fn request_permit(
         &mut self,
         id: PermitRequestId<A>,
@@ -292,7 +293,7 @@
     }
 
     /// Returns the target that may get the request and is expected to answer it first. Cold targets
-    /// are chosen only if the pool has no warm one, each at its own rate.
+    /// are chosen only if the pool has no warm one, each up to its cold rate and its slots.
     fn choose_target(&mut self, request: &PermitRequest, now: Instant) -> Option<Name> {
         let mean = self.mean_service_time();
         let has_queue = !self.queue.is_empty();
@@ -368,7 +369,7 @@
         if is_paused(self.connect_pause) || is_paused(self.shed_pause) {
             return false;
         }
-        let extra = if has_queue { EXTRA_REQUESTS } else { 0 };
+        let extra = if has_queue { REQUESTS_BEYOND_SLOTS } else { 0 };
         (self.permits.len() as u32) < self.info.slots + extra
     }
 
--- a/crates/decide/src/service_time.rs
+++ b/crates/decide/src/service_time.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTime(Option<f64>);
 
-/// State of a target from which the response time of another request is estimated.
+/// Inputs for an estimate of the response time of another request at a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetEstimate {
     /// Smoothed service time in seconds.
--- a/crates/decide/src/traffic_split.rs
+++ b/crates/decide/src/traffic_split.rs
@@ -4,7 +4,8 @@
 /// whose multiples fill the interval evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// Distributes requests in the proportions of the weights, evenly over any sequence of requests.
+/// Distributes requests by weight so that any number of consecutive requests is close to the
+/// proportions.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficSplitter {
     position: f64,
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -78,8 +78,8 @@
         let (recorded, next, history) = run_attempts(policy, &outcomes, within_budget);
         let ran = recorded.iter().any(|it| may_have_run(*it));
         let refused = matches!(next, Some(NextAction::ReturnError(FinalError::Refused(_))));
-        let abandoned = matches!(history.final_error(Reason::Deadline), FinalError::Refused(_));
-        !(ran && (refused || abandoned))
+        let refused_if_abandoned = matches!(history.final_error(Reason::Deadline), FinalError::Refused(_));
+        !(ran && (refused || refused_if_abandoned))
     }
 
     fn without_retry_budget_nothing_that_reached_a_target_is_sent_again(outcomes: Vec<AnyOutcome>, sharded: bool) -> bool {
@@ -91,6 +91,7 @@
         let outcome = if not_owner { AttemptOutcome::NotOwner } else { AttemptOutcome::Unsent };
         let policy = RetryPolicy { idempotent, sharded, max_attempts: 9 };
         let (recorded, next, _) = run_attempts(policy, &[AnyOutcome(outcome); 20], true);
+        // Six retries after the first attempt.
         recorded.len() <= 7 && matches!(next, Some(NextAction::ReturnError(FinalError::Refused(_))))
     }
 }
--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the claim delay of an instance that so many others precede.
+/// Returns the claim delay of an instance with so many preferred instances before it.
 fn claim_delay(position: u32) -> ClaimDelay {
     ClaimDelay {
         duration: position * Duration::from_millis(150),
@@ -117,7 +117,8 @@
             }
             let now = machine.now();
             let action = machine.election.next_action(now, machine.claim_delay);
-            // The call is sent at the local time `now`, before the store answers.
+            // Contains the local time of the call, not of the answer: the machine may be suspended
+            // in between.
             let time = StoreTimestamp {
                 store_time: TICK_LENGTH * tick,
                 sent_at: now,
@@ -146,7 +147,6 @@
                         row.delayed
                             .push((due_tick, version, id, written.store_time));
                     } else if row.write(version, id, written.store_time) {
-                        // The machine may be suspended while it waits for the answer.
                         machine.election.confirm_write(written, row.version, time);
                     } else {
                         machine.election.apply_row(row.view(id), now, Some(time));
@@ -169,6 +169,7 @@
 #[test]
 fn at_most_one_instance_leads() {
     for seed in 0..seeds::count(300) {
+        // A quarter of the 2,400 ticks.
         assert!(
             simulate(seed) > 600,
             "seed {seed}: too few ticks with a leader"
@@ -234,9 +235,10 @@
     assert_eq!(action, ElectionAction::Write { version: 7 });
 }
 
-/// A claim must not contain a store timestamp that is older than the row it replaces.
+/// A claim must not contain a store timestamp that is older than the row it replaces. Here the only
+/// timestamp is from before the heartbeat.
 #[test]
-fn a_version_known_only_from_a_heartbeat_is_not_replaced() {
+fn a_row_known_only_from_a_heartbeat_is_not_claimed() {
     let start = Instant::now();
     let local_time = |millis: u64| LocalTime {
         monotonic: start + Duration::from_millis(millis),
--- a/crates/decide/tests/permits.rs
+++ b/crates/decide/tests/permits.rs
@@ -124,7 +124,7 @@
     let now = Instant::now();
     let mut pool: Pool<u8> = Pool::default();
     pool.update_targets(&pool_targets(&[("a", None)]), now);
-    // Answers take 100 ms and there are two slots, so the twentieth request would wait a second.
+    // With the default service time of 100 ms and two slots the twentieth would wait a second.
     let replies: Vec<PermitReply> = (0..40)
         .map(|number| pool.request_permit((0, number), permit_request(1, now, 400, 800), now))
         .collect();
@@ -251,6 +251,7 @@
         }
         for (id, reply) in pool.process_queue(now) {
             if is_granted(&reply) {
+                // The target queues requests beyond its slots.
                 let before = running.len().saturating_sub(SLOTS as usize - 1) as u64;
                 running.push((now + millis(100 * (before / 2 + 1)), id));
             }
--- a/crates/decide/tests/shares.rs
+++ b/crates/decide/tests/shares.rs
@@ -16,8 +16,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Simulates `instances` that retry whenever they may and each get `requests` in a window; returns
-/// the greatest number of retries beyond the budget in any window.
+/// Simulates `instances` that retry whenever they may and each get `requests` in a window of 1,000
+/// ticks; returns the greatest number of retries beyond the budget in any window.
 fn max_excess(instances: usize, requests: u64) -> f64 {
     let start = Instant::now();
     let mut windows: Vec<RetryWindow> = (0..instances).map(|_| RetryWindow::new(start)).collect();
@@ -66,6 +66,7 @@
     let start = Instant::now();
     let mut retry_window = RetryWindow::new(start);
     while retry_window.try_add_retry(&BUDGET, 1, start) {}
+    // Two slices after the end of the window.
     let later = start + BUDGET.window + BUDGET.window / 5;
     assert!(retry_window.try_add_retry(&BUDGET, 1, later));
 }
