--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -18,8 +18,8 @@
 const MAX_UNSENT: u32 = 2 * MAX_REFUSALS;
 /// Delay before a request is sent again to the owner of its key, which refused it.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(120);
-/// Delay before a request without a connection to the owner of its key is retried, and longest delay
-/// before it is retried after a target answered that it does not own the key.
+/// Delay before a request without a connection to the owner of its key is retried, and longest
+/// delay before it is retried after a target answered that it does not own the key.
 const OWNER_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Part of the time until the deadline for which a request waits for an owner of its key.
 const OWNER_WAIT_RATIO: f64 = 0.4;
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -5,8 +5,8 @@
 //! a clock that also counts the time in which the machine was suspended. Another instance may claim
 //! the row once the store's clock is a whole TTL past the time in the row, or once it has known the
 //! same version for a TTL on its monotonic clock, which stops during a suspension and so can only
-//! lengthen the wait. Each candidate delays its claim differently, so that usually the preferred one
-//! gets the row.
+//! lengthen the wait. Each candidate delays its claim differently, so that usually the preferred
+//! one gets the row.
 
 use {std::time::Duration, tokio::time::Instant};
 
@@ -18,8 +18,8 @@
 const RENEWAL_DIVISOR: u32 = 4;
 /// Greatest age of the store timestamp in a claim; an older one requires a read first.
 const MAX_TIMESTAMP_AGE: Duration = Duration::from_millis(100);
-/// A write is expected to succeed while the renewal is late by no more than the lease TTL divided by
-/// this.
+/// A write is expected to succeed while the renewal is late by no more than the lease TTL divided
+/// by this.
 const LATENESS_DIVISOR: u32 = 10;
 
 /// Local time on both clocks.
@@ -147,8 +147,8 @@
         })
     }
 
-    /// Returns whether a write is expected to succeed: the last one was answered, and the renewal is
-    /// late by no more than the tolerance.
+    /// Returns whether a write is expected to succeed: the last one was answered, and the renewal
+    /// is late by no more than the tolerance.
     pub fn is_store_writable(&self, now: LocalTime) -> bool {
         let lease = self.lease.as_ref().filter(|_| !self.needs_read);
         lease.is_some_and(|lease| {
@@ -224,8 +224,8 @@
             .map(|(timestamp, start)| timestamp.store_time.saturating_sub(start));
         let remaining = age.map(|age| self.lease_ttl.saturating_sub(age));
         let expiry = remaining.map(|remaining| now.monotonic + remaining);
-        // For an unchanged row the earlier time counts: if it had expired by an earlier read, it has
-        // been free since then.
+        // For an unchanged row the earlier time counts: if it had expired by an earlier read, it
+        // has been free since then.
         let unchanged = self.row.as_ref().is_some_and(|(known, _)| *known == row);
         let known_expiry = self.row_expiry.filter(|_| unchanged);
         self.row_expiry = known_expiry.into_iter().chain(expiry).min();
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -87,8 +87,8 @@
 }
 
 impl TokenBucket {
-    /// Creates a bucket with the level `initial`, 0 to 1. With different levels, instances that find
-    /// the same target cold do not all send at once.
+    /// Creates a bucket with the level `initial`, 0 to 1. With different levels, instances that
+    /// find the same target cold do not all send at once.
     pub fn new(initial: f64, now: Instant) -> Self {
         Self {
             level: initial,
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -78,8 +78,8 @@
         let (recorded, next, history) = run_attempts(policy, &outcomes, within_budget);
         let ran = recorded.iter().any(|it| may_have_run(*it));
         let refused = matches!(next, Some(NextAction::ReturnError(FinalError::Refused(_))));
-        let refused_if_abandoned = matches!(history.final_error(Reason::Deadline), FinalError::Refused(_));
-        !(ran && (refused || refused_if_abandoned))
+        let refused_later = matches!(history.final_error(Reason::Deadline), FinalError::Refused(_));
+        !(ran && (refused || refused_later))
     }
 
     fn without_retry_budget_nothing_that_reached_a_target_is_sent_again(outcomes: Vec<AnyOutcome>, sharded: bool) -> bool {
