--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -11,11 +11,11 @@
         },
         peers::{datagram, membership, message::Message},
     },
-    cowslip_adapter::store::{Check, Commit, OWN_TABLE, Put, Row, Rows},
+    cowslip_adapter::store::{CommitOutcome, ROUTER_TABLE, Row, RowSet, RowWrite, VersionCheck},
     cowslip_decide::{
         election::{ClaimDelay, ElectionAction, LeaderRow, LocalTime, StoreTimestamp},
         names::Name,
-        owners::{Life, Table, inherited},
+        owners::{AssignmentTable, TargetIncarnation, max_grant_lifetime},
     },
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, rc::Rc, time::Duration},
@@ -209,7 +209,7 @@
 pub async fn refresh(context: &Context) -> bool {
     let _one = context.writing.lock().await;
     let sent = clock::moment();
-    let read = context.rows.rows(OWN_TABLE, LIMIT).await;
+    let read = context.rows.read_table(ROUTER_TABLE, LIMIT).await;
     context.metrics.store_call("owners", read.is_ok());
     context.store_answered(read.is_ok());
     let Ok(rows) = read else {
@@ -225,9 +225,9 @@
 }
 
 /// Takes the leader's row as the store has it.
-fn see(context: &Context, rows: &Rows, sent: LocalTime) {
+fn see(context: &Context, rows: &RowSet, sent: LocalTime) {
     let row = rows.rows.iter().find(|row| row.key == SEAT_KEY);
-    let mark = rows.now.map(|store| StoreTimestamp {
+    let mark = rows.store_time.map(|store| StoreTimestamp {
         store_time: store,
         sent_at: sent,
     });
@@ -258,7 +258,7 @@
 /// said when it gave its row up, or else that of a grant sent at the end of its lease.
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
-    let longest = inherited(context.bounds.borrow().max_hold, courier::FLIGHT);
+    let longest = max_grant_lifetime(context.bounds.borrow().max_ttl, courier::FLIGHT);
     said.or_else(|| Some(Duration::from_millis(row.told?) + TERM + longest))
 }
 
@@ -284,7 +284,7 @@
     let detail = format!(
         "service {service}, version {}, {} pieces",
         row.version,
-        table.pieces.len()
+        table.assignments.len()
     );
     owners.insert(
         service.into(),
@@ -300,10 +300,14 @@
 }
 
 /// Reads owners and their last known addresses.
-fn read(service: &str, row: &Row, all: &[Row]) -> Result<(Table, Vec<(Life, SocketAddr)>), String> {
+fn read(
+    service: &str,
+    row: &Row,
+    all: &[Row],
+) -> Result<(AssignmentTable, Vec<(TargetIncarnation, SocketAddr)>), String> {
     let wire = record::read(service, row, all)?;
     let addresses = wire.addresses();
-    let table = Table::try_from(wire).map_err(str::to_owned)?;
+    let table = AssignmentTable::try_from(wire).map_err(str::to_owned)?;
     Ok((table, addresses))
 }
 
@@ -355,10 +359,13 @@
 fn settle(
     context: &Context,
     (said, sent): (StoreTimestamp, LocalTime),
-    end: &cowslip_adapter::Result<Commit>,
+    end: &cowslip_adapter::Result<CommitOutcome>,
 ) {
     match end {
-        Ok(Commit::Done { version, now }) => {
+        Ok(CommitOutcome::Committed {
+            version,
+            store_time: now,
+        }) => {
             let told = now.map_or(said, |store| StoreTimestamp {
                 store_time: store,
                 sent_at: sent,
@@ -368,11 +375,11 @@
                 .borrow_mut()
                 .confirm_write(said, *version, told);
         }
-        Ok(Commit::Conflict(rows)) => match rows.rows.iter().any(|row| row.key == SEAT_KEY) {
+        Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == SEAT_KEY) {
             true => see(context, rows, sent),
             false => context.lead.borrow_mut().mark_write_unanswered(),
         },
-        Err(error) if error.may_have_happened() => {
+        Err(error) if error.is_outcome_unknown() => {
             context.note(events::WRITE_UNKNOWN, error.to_string());
             context.lead.borrow_mut().mark_write_unanswered();
         }
@@ -382,7 +389,12 @@
 }
 
 /// Records owners under the condition that this instance still is the leader.
-pub async fn record(context: &Context, service: &Name, before: u64, table: &Table) -> Recorded {
+pub async fn record(
+    context: &Context,
+    service: &Name,
+    before: u64,
+    table: &AssignmentTable,
+) -> Recorded {
     let one = context.writing.lock().await;
     if !context.leads() {
         return Recorded::Refused;
@@ -402,23 +414,28 @@
     context.metrics.store_call("record", end.is_ok());
     settle(context, (said, sent), &end);
     match end {
-        Ok(Commit::Done { version, .. }) => {
+        Ok(CommitOutcome::Committed { version, .. }) => {
             took_effect(context, service, (before, version), table);
             Recorded::Done
         }
-        Ok(Commit::Conflict(_)) => Recorded::Unknown,
-        Err(error) if error.may_have_happened() => Recorded::Unknown,
+        Ok(CommitOutcome::Conflict(_)) => Recorded::Unknown,
+        Err(error) if error.is_outcome_unknown() => Recorded::Unknown,
         Err(_) => Recorded::Refused,
     }
 }
 
 /// Puts recorded owners in force on this instance, and keeps the difference for the others.
-fn took_effect(context: &Context, service: &Name, (before, version): (u64, u64), table: &Table) {
+fn took_effect(
+    context: &Context,
+    service: &Name,
+    (before, version): (u64, u64),
+    table: &AssignmentTable,
+) {
     let mut owners = context.owners.borrow_mut();
     let former = owners.get(service).filter(|it| it.version == before);
     let change = former.map(|former| Change {
         base: before,
-        pieces: table.changes(&former.table),
+        pieces: table.changes_since(&former.table),
         at: Instant::now(),
     });
     let next = Owners {
@@ -462,8 +479,8 @@
     }
 }
 
-fn check(key: &str, version: u64) -> Check {
-    Check {
+fn check(key: &str, version: u64) -> VersionCheck {
+    VersionCheck {
         key: key.into(),
         version,
     }
@@ -472,12 +489,12 @@
 /// Returns the time of the store's clock after which none of this leader's grants is in force, if
 /// that is known.
 fn granted(context: &Context) -> Option<Duration> {
-    Some(context.present()?.store + keep::holds(context)?)
+    Some(context.present()?.latest + keep::holds(context)?)
 }
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
 /// grants is in force any more, if it knows.
-fn seat(context: &Context, said: StoreTimestamp, given_up: Option<Option<Duration>>) -> Put {
+fn seat(context: &Context, said: StoreTimestamp, given_up: Option<Option<Duration>>) -> RowWrite {
     let wire = WireSeat {
         name: context.settings.name.clone(),
         run: match given_up {
@@ -488,7 +505,7 @@
         heartbeats: context.settings.listen.heartbeats,
         told: Some(said.store_time.as_millis() as u64),
     };
-    Put {
+    RowWrite {
         key: SEAT_KEY.into(),
         // A struct of texts always has a JSON form.
         value: serde_json::to_vec(&wire).unwrap_or_default(),
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/deliver.rs
@@ -154,7 +154,7 @@
         }
         end
     };
-    if request.route.repeatable {
+    if request.route.idempotent {
         return run.await;
     }
     let ended = spawn_local(run).await;
@@ -179,7 +179,7 @@
     let service = config
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
-    let all = service.map_or(1, |it| it.connections.min(10_000) as u32);
+    let all = service.map_or(1, |it| it.max_connections.min(10_000) as u32);
     (all / context.instances.get().max(1)).max(2)
 }
 
@@ -200,9 +200,9 @@
     }
     note_end(context, request, target, &end, seen);
     let kind = RetryPolicy {
-        idempotent: request.route.repeatable,
+        idempotent: request.route.idempotent,
         sharded: request.key.is_some(),
-        max_attempts: request.route.attempts,
+        max_attempts: request.route.max_attempts,
     };
     let next = course.record_attempt(kind, target, seen, || context.may_repeat(&request.service));
     match (next, end) {
@@ -250,7 +250,11 @@
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocks.borrow_mut();
-        blocks.refused(&request.service, owners.table.piece(key), Instant::now());
+        blocks.refused(
+            &request.service,
+            owners.table.assignment(key),
+            Instant::now(),
+        );
     }
 }
 
@@ -258,7 +262,7 @@
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocks.borrow_mut();
-        blocks.served(&request.service, owners.table.piece(key));
+        blocks.served(&request.service, owners.table.assignment(key));
     }
 }
 
