--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -12,13 +12,13 @@
     },
     cowslip_adapter::{config::Config, store::Store},
     cowslip_decide::{
-        lead::Lead,
+        election::LeaderElection,
+        limits::{RetryBudget, RetryWindow},
         names::{Incarnation, Name},
-        owners::{Former, Life, Piece, Present, Table},
-        share::{Bound, Share},
-        split::Dealer,
+        owners::{Assignment, AssignmentTable, PreviousLeaders, StoreTimeBound, TargetIncarnation},
+        traffic_split::TrafficSplitter,
     },
-    cowslip_settings::process::{Process, bounds::Bounds},
+    cowslip_settings::process::{ProcessSettings, bounds::Bounds},
     std::{
         cell::{Cell, RefCell},
         collections::BTreeMap,
@@ -48,7 +48,7 @@
     /// Version of the row.
     pub version: u64,
     /// Owners.
-    pub table: Rc<Table>,
+    pub table: Rc<AssignmentTable>,
     /// What the leader changed last, if this instance is the leader.
     pub change: Option<Change>,
 }
@@ -59,7 +59,7 @@
     /// Version before it.
     pub base: u64,
     /// Pieces that are new.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<Assignment>,
     /// Time of the record.
     pub at: Instant,
 }
@@ -79,7 +79,7 @@
 /// What the tasks of an instance share.
 pub struct Context {
     /// Settings of the process.
-    pub settings: Process,
+    pub settings: ProcessSettings,
     /// Bounds, which a reload replaces.
     pub bounds: RefCell<Bounds>,
     /// Run of this instance; rows that it wrote bear it.
@@ -131,11 +131,11 @@
     /// Connections and load by target.
     pub lines: RefCell<BTreeMap<Name, Rc<Line>>>,
     /// Retries by service.
-    pub shares: RefCell<BTreeMap<Name, Share>>,
+    pub shares: RefCell<BTreeMap<Name, RetryWindow>>,
     /// Distribution of each route's requests by weight.
-    pub dealers: RefCell<BTreeMap<Name, Dealer>>,
+    pub dealers: RefCell<BTreeMap<Name, TrafficSplitter>>,
     /// Leadership.
-    pub lead: RefCell<Lead>,
+    pub lead: RefCell<LeaderElection>,
     /// What this instance knows as leader.
     pub leader_state: Rc<RefCell<LeaderState>>,
     /// Version of the leader's row as it was read last, and the time of the store's clock after
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     /// Fails if the log cannot be opened.
-    pub fn new(settings: Process, socket: UdpSocket) -> eyre::Result<Self> {
+    pub fn new(settings: ProcessSettings, socket: UdpSocket) -> eyre::Result<Self> {
         let incarnation = Incarnation(since_epoch().as_micros() as u64);
         let origin = Origin {
             process: settings.name.clone(),
@@ -214,7 +214,7 @@
             lines: RefCell::default(),
             shares: RefCell::default(),
             dealers: RefCell::default(),
-            lead: RefCell::new(Lead::new(TERM)),
+            lead: RefCell::new(LeaderElection::new(TERM)),
             leader_state: Rc::default(),
             former: Cell::new(None),
             granted: Cell::new(None),
@@ -267,34 +267,34 @@
 
     /// Returns whether this instance may act as leader now.
     pub fn leads(&self) -> bool {
-        self.lead.borrow().leads(clock::moment())
+        self.lead.borrow().is_leader(clock::moment())
     }
 
     /// Returns what is known of the leaders before this instance.
-    pub fn former(&self) -> Former {
-        Former {
-            granted: self.granted.get(),
-            told: self.lead.borrow().mark().map(|it| it.store),
+    pub fn former(&self) -> PreviousLeaders {
+        PreviousLeaders {
+            grants_expire: self.granted.get(),
+            earliest_now: self.lead.borrow().store_timestamp().map(|it| it.store_time),
         }
     }
 
     /// Returns the present moment with the time that the store's clock shows at the latest, if the
     /// store ever told one.
-    pub fn present(&self) -> Option<Present> {
-        let mark = self.lead.borrow().mark()?;
+    pub fn present(&self) -> Option<StoreTimeBound> {
+        let mark = self.lead.borrow().store_timestamp()?;
         let now = clock::moment();
-        Some(Present {
-            here: now.steady,
-            store: mark.store + now.boot.saturating_sub(mark.sent.boot),
+        Some(StoreTimeBound {
+            local: now.monotonic,
+            latest: mark.store_time + now.since_boot.saturating_sub(mark.sent_at.since_boot),
         })
     }
 
     /// Remembers where runs of targets were last, unless a later run is known.
-    pub fn remember(&self, runs: impl Iterator<Item = (Life, SocketAddr)>) {
+    pub fn remember(&self, runs: impl Iterator<Item = (TargetIncarnation, SocketAddr)>) {
         let mut addresses = self.addresses.borrow_mut();
         for (life, at) in runs {
             let place = Place {
-                born: life.born,
+                born: life.incarnation,
                 at,
             };
             let known = addresses.entry(life.id).or_insert(place);
@@ -305,10 +305,12 @@
     }
 
     /// Returns the last known address of a run of a target.
-    pub fn address(&self, life: &Life) -> Option<SocketAddr> {
+    pub fn address(&self, life: &TargetIncarnation) -> Option<SocketAddr> {
         let addresses = self.addresses.borrow();
         let place = addresses.get(&life.id);
-        place.filter(|it| it.born == life.born).map(|it| it.at)
+        place
+            .filter(|it| it.born == life.incarnation)
+            .map(|it| it.at)
     }
 
     /// Returns whether this instance hears another one that is the leader.
@@ -337,8 +339,8 @@
         let mut shares = self.shares.borrow_mut();
         let share = shares
             .entry(service.clone())
-            .or_insert_with(|| Share::new(now));
-        share.request(&bound, now);
+            .or_insert_with(|| RetryWindow::new(now));
+        share.add_request(&bound, now);
     }
 
     /// Takes one repeated send to a service out of this instance's share.
@@ -349,8 +351,8 @@
         let mut shares = self.shares.borrow_mut();
         let share = shares
             .entry(service.clone())
-            .or_insert_with(|| Share::new(now));
-        let allowed = share.repeat(&bound, instances, now);
+            .or_insert_with(|| RetryWindow::new(now));
+        let allowed = share.try_add_retry(&bound, instances, now);
         self.metrics.repeat(service, allowed);
         allowed
     }
@@ -367,9 +369,9 @@
         owned && self.targets.borrow().known() && self.stopping.get().is_none()
     }
 
-    fn retry_bound(&self) -> Bound {
+    fn retry_bound(&self) -> RetryBudget {
         let bounds = self.bounds.borrow();
-        Bound {
+        RetryBudget {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
--- /dev/null
+++ b/crates/decide/src/election.rs
@@ -0,0 +1,294 @@
+//! Leader election over one row of the store, with a lease that conditional writes renew.
+//!
+//! The row contains a time of the store's clock that its writer read before the write. The writer
+//! may act as leader for a part of the lease TTL from the call that returned this time, measured on
+//! a clock that also counts the time in which the machine was suspended. Another instance may claim
+//! the row once the store's clock is a whole TTL past the time in the row, or once it has known the
+//! same version for a TTL on its monotonic clock, which a suspension can only make longer. Each
+//! candidate delays its claim differently, so that usually the preferred one gets the row.
+
+use {std::time::Duration, tokio::time::Instant};
+
+/// Part of the lease TTL for which the leader may act.
+///
+/// The rest covers clocks that run at different rates and the delivery of a command to a target.
+const USABLE_RATIO: f64 = 0.9;
+/// The leader renews after the lease TTL divided by this.
+const RENEWAL_DIVISOR: u32 = 4;
+/// Greatest age of the store timestamp in a claim.
+const MAX_TIMESTAMP_AGE: Duration = Duration::from_millis(100);
+/// While a renewal is late by no more than the lease TTL divided by this, the store counts as
+/// reachable.
+const LATENESS_DIVISOR: u32 = 10;
+
+/// Local time on both clocks.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LocalTime {
+    /// Monotonic clock, which stands still while the machine is suspended.
+    pub monotonic: Instant,
+    /// Time since the machine's start, suspensions included.
+    pub since_boot: Duration,
+}
+
+/// Time of the store's clock, with the local time before the call that returned it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StoreTimestamp {
+    /// Time of the store's clock.
+    pub store_time: Duration,
+    /// When the call was sent.
+    pub sent_at: LocalTime,
+}
+
+/// The leader's row as it is in the store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LeaderRow {
+    /// Version; 0 if the row does not exist.
+    pub version: u64,
+    /// Whether this incarnation of this instance wrote it.
+    pub is_own: bool,
+    /// Whether its writer has given up the leadership.
+    pub released: bool,
+    /// Time of the store's clock from which the lease counts; `None` if the row was not read or
+    /// contains none.
+    pub lease_start: Option<Duration>,
+}
+
+/// What to do next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ElectionAction {
+    /// Nothing is due.
+    Wait,
+    /// Read the row.
+    Read,
+    /// Write the row on the condition that it still has this version.
+    Write {
+        /// Expected version; 0 if the row must not exist.
+        version: u64,
+    },
+}
+
+/// Delay with which an instance claims a row that is free.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ClaimDelay {
+    /// Time that it leaves to other instances.
+    pub duration: Duration,
+    /// Whether the delay also applies to a row that this instance wrote itself.
+    pub includes_own: bool,
+}
+
+/// State machine by which one instance becomes and stays leader.
+#[derive(Debug)]
+pub struct LeaderElection {
+    lease_ttl: Duration,
+    /// The row as last known, and since when its version has been known.
+    row: Option<(LeaderRow, Instant)>,
+    lease: Option<Lease>,
+    store_timestamp: Option<StoreTimestamp>,
+    /// When the lease in the row ends or ended by the store's clock.
+    row_expiry: Option<Instant>,
+    needs_read: bool,
+    epoch: u64,
+}
+
+#[derive(Debug)]
+struct Lease {
+    start: LocalTime,
+    renewal_due: Instant,
+}
+
+impl LeaderElection {
+    /// Creates the state of an instance that has not read the row yet.
+    pub fn new(lease_ttl: Duration) -> Self {
+        Self {
+            lease_ttl,
+            row: None,
+            lease: None,
+            store_timestamp: None,
+            row_expiry: None,
+            needs_read: false,
+            epoch: 0,
+        }
+    }
+
+    /// Returns a number that changes whenever another instance may have been leader.
+    pub fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    /// Returns when this instance's lease ends, as time since the machine's start.
+    pub fn lease_end(&self) -> Option<Duration> {
+        let lease = self.lease.as_ref()?;
+        Some(lease.start.since_boot + self.lease_ttl.mul_f64(USABLE_RATIO))
+    }
+
+    /// Returns the latest known time of the store's clock, which the next write contains.
+    pub fn store_timestamp(&self) -> Option<StoreTimestamp> {
+        self.store_timestamp
+    }
+
+    /// Returns whether this instance may act as leader now.
+    pub fn is_leader(&self, now: LocalTime) -> bool {
+        self.lease_end().is_some_and(|end| now.since_boot < end)
+    }
+
+    /// Returns the last known version of the row; 0 if none is known.
+    pub fn row_version(&self) -> u64 {
+        self.row.as_ref().map_or(0, |(row, _)| row.version)
+    }
+
+    /// Returns whether this instance leads and a renewal is overdue, so that the store may be
+    /// unreachable.
+    pub fn is_renewal_overdue(&self, now: LocalTime) -> bool {
+        let lease = self.lease.as_ref();
+        lease.is_some_and(|lease| {
+            now.monotonic > lease.renewal_due + self.lease_ttl / RENEWAL_DIVISOR
+        })
+    }
+
+    /// Returns whether a write would probably succeed: the last one was answered, and the next
+    /// renewal is not overdue.
+    pub fn is_store_writable(&self, now: LocalTime) -> bool {
+        let lease = self.lease.as_ref().filter(|_| !self.needs_read);
+        lease.is_some_and(|lease| {
+            now.monotonic <= lease.renewal_due + self.lease_ttl / LATENESS_DIVISOR
+        })
+    }
+
+    /// Returns what to do next; gives up the leadership first if the lease has ended.
+    pub fn next_action(&mut self, now: LocalTime, claim_delay: ClaimDelay) -> ElectionAction {
+        if self.lease.is_some() && !self.is_leader(now) {
+            self.step_down();
+        }
+        let Some((row, known_since)) = &self.row else {
+            return ElectionAction::Read;
+        };
+        if self.needs_read {
+            return ElectionAction::Read;
+        }
+        let due = match &self.lease {
+            Some(lease) => lease.renewal_due,
+            None if row.is_own && !claim_delay.includes_own => now.monotonic,
+            None => self.row_free_time(row, *known_since) + claim_delay.duration,
+        };
+        if now.monotonic < due {
+            return ElectionAction::Wait;
+        }
+        // A lease counts from the store timestamp in the row. If a claim contained one older than
+        // the row it replaces, the next reader of the row would also assume that the former leader's
+        // grants end earlier than they do.
+        match self.lease.is_none() && !self.has_fresh_timestamp(now) {
+            true => ElectionAction::Read,
+            false => ElectionAction::Write {
+                version: row.version,
+            },
+        }
+    }
+
+    /// Returns when any instance may claim the row, as far as this one knows; may be in the past.
+    fn row_free_time(&self, row: &LeaderRow, known_since: Instant) -> Instant {
+        if row.released || row.version == 0 {
+            return known_since;
+        }
+        let known_long = known_since + self.lease_ttl;
+        self.row_expiry
+            .map_or(known_long, |expiry| expiry.min(known_long))
+    }
+
+    /// Returns whether the store timestamp is recent enough for a claim. As a claim so follows a
+    /// read, most of the instances that find the row free at the same time read that one has
+    /// claimed it.
+    fn has_fresh_timestamp(&self, now: LocalTime) -> bool {
+        let age = |timestamp: StoreTimestamp| {
+            now.monotonic
+                .saturating_duration_since(timestamp.sent_at.monotonic)
+        };
+        self.store_timestamp
+            .is_some_and(|timestamp| age(timestamp) <= MAX_TIMESTAMP_AGE)
+    }
+
+    /// Applies the row as read from the store, with the store's time if the store returned it.
+    pub fn apply_row(
+        &mut self,
+        row: LeaderRow,
+        now: LocalTime,
+        store_timestamp: Option<StoreTimestamp>,
+    ) {
+        self.needs_read = false;
+        if let Some(store_timestamp) = store_timestamp {
+            self.store_timestamp = Some(store_timestamp);
+        }
+        let age = store_timestamp
+            .zip(row.lease_start)
+            .map(|(timestamp, start)| timestamp.store_time.saturating_sub(start));
+        let remaining = age.map(|age| self.lease_ttl.saturating_sub(age));
+        let expiry = remaining.map(|remaining| now.monotonic + remaining);
+        // An unchanged row that had expired by an earlier read has been free since then.
+        let unchanged = self.row.as_ref().is_some_and(|(known, _)| *known == row);
+        let known_expiry = self.row_expiry.filter(|_| unchanged);
+        self.row_expiry = known_expiry.into_iter().chain(expiry).min();
+        if self.lease.is_some() && !row.is_own {
+            self.lease = None;
+        }
+        self.set_row(row, now.monotonic);
+    }
+
+    /// Applies the version of the row from a leader's heartbeat.
+    pub fn apply_heartbeat(&mut self, version: u64, now: LocalTime) {
+        if version > self.row_version() && self.lease.is_none() {
+            let row = LeaderRow {
+                version,
+                is_own: false,
+                released: false,
+                lease_start: None,
+            };
+            self.row_expiry = None;
+            self.set_row(row, now.monotonic);
+        }
+    }
+
+    /// Applies a successful write: the row contains `written` and has this version now. `answered`
+    /// is the later timestamp that came with the answer.
+    pub fn confirm_write(
+        &mut self,
+        written: StoreTimestamp,
+        version: u64,
+        answered: StoreTimestamp,
+    ) {
+        let row = LeaderRow {
+            version,
+            is_own: true,
+            released: false,
+            lease_start: Some(written.store_time),
+        };
+        self.set_row(row, answered.sent_at.monotonic);
+        self.store_timestamp = Some(answered);
+        self.row_expiry = None;
+        let renewal_due = answered.sent_at.monotonic + self.lease_ttl / RENEWAL_DIVISOR;
+        self.lease = Some(Lease {
+            start: written.sent_at,
+            renewal_due,
+        });
+    }
+
+    /// Notes that a write was not answered: it may have been carried out, or be carried out later.
+    pub fn mark_write_unanswered(&mut self) {
+        self.needs_read = true;
+    }
+
+    /// Gives up the leadership.
+    pub fn step_down(&mut self) {
+        self.lease = None;
+        self.needs_read = true;
+    }
+
+    fn set_row(&mut self, row: LeaderRow, now: Instant) {
+        if !row.is_own {
+            self.epoch += 1;
+        }
+        let known = self.row.as_ref();
+        let known_since = known
+            .filter(|(known, _)| known.version == row.version)
+            .map_or(now, |(_, since)| *since);
+        self.row = Some((row, known_since));
+    }
+}
--- /dev/null
+++ b/crates/decide/src/owners/manager.rs
@@ -0,0 +1,498 @@
+//! The leader's state machine for one service: grants, renews and moves keys so that no two targets
+//! own one key at a time.
+//!
+//! Keys change their owner in this order: the old owner releases them, its last grant expires, or
+//! its process is known to have ended; the new owner is recorded with a higher fence; the new owner
+//! gets its grant. A grant without an answer may take effect late. Until it has expired, a release
+//! does not free its keys, unless the same owner has accepted a higher fence since, under which the
+//! target refuses the late grant.
+
+use {
+    super::{
+        state::{AssignmentState, CLOCK_MARGIN, MAX_UNANSWERED},
+        table::{Assignment, AssignmentTable, TargetIncarnation},
+    },
+    crate::names::{Fence, Name},
+    std::{
+        collections::{BTreeMap, BTreeSet},
+        time::Duration,
+    },
+    tokio::time::Instant,
+};
+
+/// Intervals and limits of the commands to targets.
+#[derive(Clone, Copy, Debug)]
+pub struct CommandTiming {
+    /// TTL of a grant.
+    pub ttl: Duration,
+    /// TTL of a grant while the store is unreachable.
+    pub long_ttl: Duration,
+    /// Longest TTL that any leader grants.
+    pub max_ttl: Duration,
+    /// Time from a grant to its renewal.
+    pub renewal_interval: Duration,
+    /// Shortest renewal interval with more than [`LARGE_ASSIGNMENT_COUNT`] assignments.
+    pub slow_renewal: Duration,
+    /// Time after which a failed command is sent again; it doubles with further failures.
+    pub retry_delay: Duration,
+    /// Longest time from the sending of a command to its arrival or loss.
+    pub delivery_limit: Duration,
+}
+
+impl CommandTiming {
+    /// Returns the timing for a service of that many assignments: above a threshold, renewals are
+    /// less frequent and TTLs last more than two renewal intervals, as far as `max_ttl` allows.
+    fn scale_to(&self, assignment_count: usize) -> Self {
+        if assignment_count <= LARGE_ASSIGNMENT_COUNT {
+            return *self;
+        }
+        let min_interval =
+            Duration::from_secs_f64(assignment_count as f64 / MAX_RENEWALS_PER_SECOND);
+        let renewal_interval = self
+            .slow_renewal
+            .max(min_interval)
+            .min(self.max_ttl.mul_f64(MAX_RENEWAL_SHARE));
+        let ttl = renewal_interval
+            .mul_f64(TTL_RENEWAL_RATIO)
+            .max(self.ttl)
+            .min(self.max_ttl);
+        Self {
+            renewal_interval,
+            ttl,
+            ..*self
+        }
+    }
+}
+
+/// A running target as a possible owner of keys.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Candidate {
+    /// Incarnation that runs now.
+    pub incarnation: u64,
+    /// Whether the target may own keys.
+    pub can_own: bool,
+}
+
+/// A command that the driver has to send to an owner.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Command {
+    /// Grants keys to their owner or renews the grant.
+    Grant {
+        /// Keys, owner and fence.
+        assignment: Assignment,
+        /// Time for which the owner may serve the keys, on its own clock.
+        ttl: Duration,
+        /// Handover value that the last owner returned with its release.
+        handover: Option<Name>,
+    },
+    /// Takes the keys back.
+    Release {
+        /// Keys, owner and fence.
+        assignment: Assignment,
+    },
+}
+
+/// How a command ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CommandOutcome {
+    /// The target accepted the grant.
+    Accepted,
+    /// The target has seen a higher fence.
+    StaleFence,
+    /// The target released the keys, with a handover value if it gave one.
+    Released(Option<Name>),
+    /// The command was not sent.
+    Unsent,
+    /// Another target answered at the owner's address, so the owner's process has ended.
+    TargetEnded,
+    /// No answer: the command may have taken effect, or may do so later.
+    Unknown,
+}
+
+/// Assignments above which renewals are less frequent, to bound the leader's load.
+const LARGE_ASSIGNMENT_COUNT: usize = 300;
+
+/// Most commands that [`AssignmentManager::next_commands`] starts at once; the next call continues.
+const COMMAND_BATCH_LIMIT: usize = 200;
+
+/// TTL of a grant as a multiple of the renewal interval.
+const TTL_RENEWAL_RATIO: f64 = 2.4;
+
+/// Longest renewal interval as a part of the longest TTL.
+const MAX_RENEWAL_SHARE: f64 = 0.45;
+
+const MAX_RENEWALS_PER_SECOND: f64 = 550.0;
+
+/// Returns the time after which a grant of the longest TTL, sent now, has expired at the latest.
+pub fn max_grant_lifetime(max_ttl: Duration, delivery_limit: Duration) -> Duration {
+    delivery_limit + max_ttl.mul_f64(CLOCK_MARGIN)
+}
+
+/// Bounds on the grants of earlier leaders, in times of the store's clock.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct PreviousLeaders {
+    /// Time after which none of their grants is in force; `None` if it is not recorded.
+    pub grants_expire: Option<Duration>,
+    /// Earliest time that the store's clock can show now; `None` if it is not known.
+    pub earliest_now: Option<Duration>,
+}
+
+impl StoreTimeBound {
+    /// Returns the latest time that the store's clock can show at a local `moment`, rounded up to
+    /// whole milliseconds, the unit of the stored rows.
+    fn latest_at(&self, moment: Instant) -> Duration {
+        let time = self.latest + moment.saturating_duration_since(self.local);
+        Duration::from_millis(time.as_millis() as u64 + 1)
+    }
+}
+
+impl PreviousLeaders {
+    /// Returns the longest time that can remain until `end`; `None` if either time is not known.
+    fn time_until(&self, end: Option<Duration>) -> Option<Duration> {
+        Some(end?.saturating_sub(self.earliest_now?))
+    }
+}
+
+/// A local time with an upper bound of the store's clock.
+#[derive(Clone, Copy, Debug)]
+pub struct StoreTimeBound {
+    /// Time of the local clock.
+    pub local: Instant,
+    /// Latest time that the store's clock can show at that moment.
+    pub latest: Duration,
+}
+
+/// The leader's state machine for the assignments of one service.
+#[derive(Debug)]
+pub struct AssignmentManager {
+    timing: CommandTiming,
+    highest_fence: Fence,
+    states: Vec<AssignmentState>,
+    ended: BTreeSet<TargetIncarnation>,
+}
+
+impl AssignmentManager {
+    /// Starts from the recorded owners. Grants of earlier leaders count as in force until their
+    /// known expiry, or else for the longest time that a grant can last.
+    pub fn new(
+        table: &AssignmentTable,
+        timing: CommandTiming,
+        previous: PreviousLeaders,
+        now: Instant,
+    ) -> Self {
+        let longest = max_grant_lifetime(timing.max_ttl, timing.delivery_limit);
+        let longest = previous
+            .time_until(previous.grants_expire)
+            .unwrap_or(longest)
+            .min(longest);
+        let states = table.assignments.iter().map(|assignment| {
+            let remaining = previous
+                .time_until(assignment.expires_at)
+                .unwrap_or(longest)
+                .min(longest);
+            let grant_end = assignment.owner.as_ref().map(|_| now + remaining);
+            AssignmentState {
+                grant_end,
+                late_end: grant_end,
+                late_fence: assignment.fence,
+                // A recorded expiry is valid only if no further grant is sent with that fence.
+                revocation: assignment.expires_at.map(|_| None),
+                ..AssignmentState::new(assignment.clone(), now)
+            }
+        });
+        Self {
+            timing,
+            highest_fence: table.highest_fence,
+            states: states.collect(),
+            ended: BTreeSet::new(),
+        }
+    }
+
+    /// Returns the recorded owners, split as the manager handles them.
+    pub fn table(&self) -> AssignmentTable {
+        AssignmentTable {
+            assignments: self
+                .states
+                .iter()
+                .map(|state| state.assignment.clone())
+                .collect(),
+            highest_fence: self.highest_fence,
+        }
+    }
+
+    /// Returns the time after which no grant is in force, if no further one is sent.
+    pub fn remaining_grant_time(&self, now: Instant) -> Duration {
+        let last_end = |state: &AssignmentState| {
+            let known = state.grant_end.max(state.late_end);
+            let sent = state.sent_ttl.filter(|_| state.in_flight);
+            let latest =
+                sent.map(|ttl| now + self.timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN));
+            known.max(latest)
+        };
+        let last = self.states.iter().filter_map(last_end).max();
+        last.map_or(Duration::ZERO, |last| last.saturating_duration_since(now))
+    }
+
+    /// Returns whether a grant has been sent and has not ended.
+    pub fn has_grant_in_flight(&self) -> bool {
+        self.states
+            .iter()
+            .any(|state| state.in_flight && state.sent_ttl.is_some())
+    }
+
+    /// Returns whether an owner, a fence or the expiry of an unreachable owner has to be recorded.
+    pub fn needs_recording(&self, now: Instant) -> bool {
+        let is_waiting =
+            |state: &AssignmentState| state.is_free || (state.needs_fence && !state.in_flight);
+        self.states
+            .iter()
+            .any(|state| is_waiting(state) || state.recordable_expiry(now).is_some())
+    }
+
+    /// Returns the owners that do not answer commands about their keys.
+    pub fn unanswered_owners(&self) -> BTreeSet<Name> {
+        let unanswered = self
+            .states
+            .iter()
+            .filter(|it| it.unanswered_count >= MAX_UNANSWERED);
+        let owners = unanswered.filter_map(|it| Some(it.assignment.owner.as_ref()?.id.clone()));
+        owners.collect()
+    }
+
+    /// Returns the incarnations whose processes are known to have ended.
+    pub fn ended_incarnations(&self) -> &BTreeSet<TargetIncarnation> {
+        &self.ended
+    }
+
+    /// Frees the keys of an incarnation whose process has ended.
+    pub fn mark_ended(&mut self, incarnation: &TargetIncarnation, now: Instant) {
+        let is_owned =
+            |state: &&mut AssignmentState| state.assignment.owner.as_ref() == Some(incarnation);
+        for state in self.states.iter_mut().filter(is_owned) {
+            state.mark_owner_ended(now);
+        }
+        self.ended.insert(incarnation.clone());
+    }
+
+    /// Returns the incarnations that own keys.
+    pub fn owners(&self) -> BTreeSet<&TargetIncarnation> {
+        let owners = self.states.iter();
+        owners
+            .filter_map(|it| it.assignment.owner.as_ref())
+            .collect()
+    }
+
+    /// Returns whether the assignment that begins with this key keeps its owner and its fence.
+    pub fn is_settled(&self, first: u16) -> bool {
+        let state = self
+            .state_for(first)
+            .filter(|it| it.assignment.first == first);
+        state
+            .is_some_and(|state| state.revocation.is_none() && !state.is_free && !state.needs_fence)
+    }
+
+    /// Starts to revoke keys whose owner is unknown, may not own any or runs as a new incarnation.
+    pub fn review_owners(&mut self, candidates: &BTreeMap<Name, Candidate>, now: Instant) {
+        for state in &mut self.states {
+            let Some(owner) = &state.assignment.owner else {
+                state.is_free = true;
+                continue;
+            };
+            match candidates.get(&owner.id) {
+                Some(it) if it.can_own && it.incarnation == owner.incarnation => {}
+                _ => state.start_revocation(None, now),
+            }
+        }
+    }
+
+    /// Starts to move keys to another target; the keys must lie in one assignment.
+    ///
+    /// Keys that are already changing their owner, or wait for the end of a command, are left out.
+    pub fn start_transfer(&mut self, first: u16, last: u16, new_owner: &Name, now: Instant) {
+        self.split_around(first, last);
+        for state in &mut self.states {
+            let is_inside = first <= state.assignment.first && state.assignment.last <= last;
+            if is_inside && state.revocation.is_none() && !state.is_free && !state.in_flight {
+                state.start_revocation(Some(new_owner.clone()), now);
+            }
+        }
+    }
+
+    /// Returns the commands to send now, which count as in flight from here on.
+    pub fn next_commands(&mut self, is_store_unreachable: bool, now: Instant) -> Vec<Command> {
+        let timing = self.timing.scale_to(self.states.len());
+        let ttl = match is_store_unreachable {
+            true => timing.long_ttl,
+            false => timing.ttl,
+        };
+        self.merge_neighbours();
+        let mut commands = Vec::new();
+        for state in &mut self.states {
+            state.expire_grants(now);
+            if state.in_flight || state.is_free || state.needs_fence || now < state.command_due {
+                continue;
+            }
+            if state.assignment.owner.is_none() {
+                continue;
+            }
+            if commands.len() == COMMAND_BATCH_LIMIT {
+                break;
+            }
+            state.in_flight = true;
+            let assignment = state.assignment.clone();
+            let is_release = state.revocation.is_some() && !state.has_unaccepted_fence();
+            state.sent_ttl = (!is_release).then_some(ttl);
+            commands.push(match is_release {
+                true => Command::Release { assignment },
+                false => Command::Grant {
+                    assignment,
+                    ttl,
+                    handover: state.handover.clone(),
+                },
+            });
+        }
+        commands
+    }
+
+    /// Applies the outcome of a command that was sent at `sent`.
+    pub fn handle_outcome(
+        &mut self,
+        command: &Command,
+        outcome: CommandOutcome,
+        sent: Instant,
+        now: Instant,
+    ) {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
+        let timing = self.timing.scale_to(self.states.len());
+        for state in &mut self.states {
+            let is_match = state.assignment.fence == assignment.fence
+                && state.assignment.owner == assignment.owner
+                && assignment.first <= state.assignment.first
+                && state.assignment.last <= assignment.last;
+            if is_match {
+                state.handle_outcome(command, &outcome, &timing, (sent, now));
+            }
+            if is_match && outcome == CommandOutcome::TargetEnded {
+                self.ended.extend(state.assignment.owner.clone());
+            }
+        }
+    }
+
+    /// Returns the table to record next, or `None` if nothing has to be recorded.
+    ///
+    /// `choose_owner` gets each free assignment with the target that it was to move to. The table
+    /// takes effect only with [`AssignmentManager::apply_recorded`]. Without `store_time` it has no
+    /// further expiries of unreachable owners' grants.
+    pub fn propose_table(
+        &self,
+        store_time: Option<StoreTimeBound>,
+        mut choose_owner: impl FnMut(&Assignment, Option<&Name>) -> Option<TargetIncarnation>,
+    ) -> Option<AssignmentTable> {
+        let mut table = self.table();
+        let mut changed = false;
+        for (index, state) in self.states.iter().enumerate() {
+            if state.is_free {
+                let wanted = state.revocation.as_ref().and_then(|target| target.as_ref());
+                let Some(chosen) = choose_owner(&state.assignment, wanted) else {
+                    continue;
+                };
+                table.assignments[index].owner = Some(chosen);
+            } else if !state.needs_fence || state.in_flight {
+                let expiry = store_time
+                    .and_then(|it| Some(it.latest_at(state.recordable_expiry(it.local)?)));
+                table.assignments[index].expires_at =
+                    table.assignments[index].expires_at.or(expiry);
+                changed |= expiry.is_some();
+                continue;
+            }
+            table.assignments[index].fence = table.advance_fence();
+            table.assignments[index].expires_at = None;
+            changed = true;
+        }
+        changed.then_some(table)
+    }
+
+    /// Applies a proposed table that is recorded now.
+    ///
+    /// Assignments may have been split or merged since the proposal; each key keeps its own state.
+    pub fn apply_recorded(&mut self, table: &AssignmentTable, now: Instant) {
+        self.highest_fence = self.highest_fence.max(table.highest_fence);
+        let ranges: Vec<(u16, u16)> = self
+            .states
+            .iter()
+            .map(|state| (state.assignment.first, state.assignment.last))
+            .collect();
+        let mut table = table.clone();
+        for (first, last) in ranges {
+            table.split_around(first, last);
+        }
+        let states = table.assignments.into_iter().filter_map(|assignment| {
+            let before = self.state_for(assignment.first)?;
+            Some(before.with_recorded(assignment, now))
+        });
+        self.states = states.collect();
+    }
+
+    /// Returns the state of the assignment that contains a key.
+    fn state_for(&self, key: u16) -> Option<&AssignmentState> {
+        let after = self.states.partition_point(|it| it.assignment.first <= key);
+        self.states[..after].last()
+    }
+
+    /// Splits keys that never had an owner into `count` equal assignments, one for each target.
+    pub fn split_evenly(&mut self, count: u32) {
+        let is_unassigned = self.states.len() == 1 && self.states[0].assignment.owner.is_none();
+        if !is_unassigned || count < 2 {
+            return;
+        }
+        let size = (u32::from(u16::MAX) + 1) / count;
+        let whole = self.states[0].clone();
+        let part = |index: u32| {
+            let last = if index + 1 == count {
+                u16::MAX
+            } else {
+                ((index + 1) * size - 1) as u16
+            };
+            let assignment = Assignment {
+                first: (index * size) as u16,
+                last,
+                ..whole.assignment.clone()
+            };
+            AssignmentState {
+                assignment,
+                ..whole.clone()
+            }
+        };
+        self.states = (0..count).map(part).collect();
+    }
+
+    /// Merges neighbours with the same owner and fence, so that one grant covers both.
+    fn merge_neighbours(&mut self) {
+        self.states.dedup_by(|next, state| {
+            let is_match = state.assignment.owner == next.assignment.owner
+                && state.assignment.fence == next.assignment.fence;
+            let are_idle = state.is_idle() && next.is_idle();
+            if is_match && are_idle {
+                state.assignment.last = next.assignment.last;
+                state.grant_end = state.grant_end.max(next.grant_end);
+                state.late_end = state.late_end.max(next.late_end);
+                state.late_fence = state.late_fence.max(next.late_fence);
+                state.command_due = state.command_due.min(next.command_due);
+            }
+            is_match && are_idle
+        });
+    }
+
+    fn split_around(&mut self, first: u16, last: u16) {
+        let mut table = self.table();
+        table.split_around(first, last);
+        let states = table.assignments.into_iter().filter_map(|assignment| {
+            let before = self.state_for(assignment.first)?;
+            Some(AssignmentState {
+                assignment,
+                ..before.clone()
+            })
+        });
+        self.states = states.collect();
+    }
+}
