--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -103,7 +103,7 @@
     ][random.random_range(0..5)];
     let manner = [
         target::TargetMode::CloseWithoutResponse,
-        target::TargetMode::DelayCommands(short),
+        target::TargetMode::DelayGrants(short),
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
