--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -9,7 +9,7 @@
         status::Ages,
     },
     cowslip_adapter::config::Route,
-    cowslip_decide::owners::{Done, Order},
+    cowslip_decide::owners::{Command, CommandOutcome},
     prometheus::{GaugeVec, HistogramVec, IntCounter, IntCounterVec, IntGauge},
     registry::Registry,
     std::time::Duration,
@@ -103,8 +103,8 @@
 
     /// Counts an answer to a caller.
     pub fn answered(&self, route: &Route, answer: &Answer, time: Duration) {
-        let rank = route.rank.to_string();
-        let kind = match route.repeatable {
+        let rank = route.priority.to_string();
+        let kind = match route.idempotent {
             true => "repeatable",
             false => "once",
         };
@@ -149,17 +149,17 @@
     }
 
     /// Counts an order to the owner of keys.
-    pub fn order(&self, order: &Order, done: &Done) {
+    pub fn order(&self, order: &Command, done: &CommandOutcome) {
         let order = match order {
-            Order::Grant { .. } => "grant",
-            Order::Release { .. } => "release",
+            Command::Grant { .. } => "grant",
+            Command::Release { .. } => "release",
         };
         let end = match done {
-            Done::Held | Done::Released(_) => "done",
-            Done::Outdated => "outdated",
-            Done::Unsent => "unsent",
-            Done::Ended => "ended",
-            Done::Unknown => "unknown",
+            CommandOutcome::Accepted | CommandOutcome::Released(_) => "done",
+            CommandOutcome::StaleFence => "outdated",
+            CommandOutcome::Unsent => "unsent",
+            CommandOutcome::TargetEnded => "ended",
+            CommandOutcome::Unknown => "unknown",
         };
         self.orders.with_label_values(&[order, end]).inc();
     }
