--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -67,8 +67,8 @@
     #[serde(rename = "told")]
     lease_start: Option<u64>,
     /// Milliseconds of the store's clock after which no grant is in force; only in a released row.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "granted")]
+    #[serde(default, skip_serializing_if = "Option::is_none")]
     grants_expire: Option<u64>,
 }
 
