--- a/crates/cowslipcross/src/lead.rs
+++ b/crates/cowslipcross/src/lead.rs
@@ -1,4 +1,5 @@
-//! The leader's duty: its row in the store, the owners of keys, and the orders to targets.
+//! Leader election over a row of the store, and the leader's work: assignments of keys and commands to
+//! targets.
 
 mod assignment_recorder;
 mod assignment_rows;
