--- a/crates/cowslipcross/src/lead.rs
+++ b/crates/cowslipcross/src/lead.rs
@@ -1,5 +1,5 @@
-//! Leader election over a row of the store, and the leader's work: assignments of keys and commands to
-//! targets.
+//! Leader election over a row of the store, and the leader's work: assignments of keys and commands
+//! to targets.
 
 mod assignment_recorder;
 mod assignment_rows;
--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -31,7 +31,7 @@
     started_at: Instant,
 }
 
-/// Starts to record new owners, fences and expiries if any wait for it and no recording is running.
+/// Starts to record new owners, fences and expiries if there are any and no recording is running.
 pub fn start(
     context: &Rc<Context>,
     state: &Rc<RefCell<LeaderState>>,
@@ -77,10 +77,10 @@
             .map(work)
     }
 
-    /// Finds out whether an unconfirmed write is in the store; returns whether a new write may follow.
+    /// Checks whether an unconfirmed write is in the store; returns whether a new one may follow.
     ///
-    /// It first waits for a renewal of the leader's row: the lost write was conditional on the row's
-    /// former version, so it can no longer be carried out afterwards.
+    /// It first waits for a renewal of the leader's row: the unconfirmed write is conditional on
+    /// the row's version, so that it fails afterwards.
     async fn resolve_unconfirmed_write(&self) -> bool {
         let Some(unconfirmed) = self.with_service(|service| service.unconfirmed_write.clone())
         else {
@@ -96,8 +96,8 @@
             && self.compare_with_store(&table)
     }
 
-    /// Compares the unconfirmed table with the one read from the store; returns whether the store has
-    /// either this table or the one before it. If it has any other, the service's state is dropped.
+    /// Compares the unconfirmed table with the store's; returns whether the store has either this
+    /// table or the one before it. If it has any other, the service's state is dropped.
     fn compare_with_store(&self, unconfirmed: &AssignmentTable) -> bool {
         let stored = self.context.owners.borrow().get(&self.name).cloned();
         let version = stored.as_ref().map_or(0, |it| it.version);
@@ -121,7 +121,7 @@
         resolved.unwrap_or(false)
     }
 
-    /// Records the changes that wait for it; returns whether the manager has applied a record.
+    /// Records pending changes; returns whether the manager has applied the recorded table.
     async fn record(
         &self,
         statuses: &BTreeMap<Name, TargetStatus>,
--- a/crates/cowslipcross/src/lead/assignment_rows.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows.rs
@@ -56,8 +56,8 @@
     Ok(rows)
 }
 
-/// Decodes the assignments of a service from their row; `all_rows` is the same snapshot of the table
-/// and contains the parts.
+/// Decodes the assignments of a service from their row; the parts are in `all_rows`, which were
+/// read together with the row.
 ///
 /// # Errors
 /// Says what is invalid or which part is missing.
@@ -87,8 +87,8 @@
     /// Owners: id and incarnation.
     #[serde(rename = "o")]
     owners: Vec<(Name, u64)>,
-    /// Last known address of each owner, in the same order. A new leader needs them for owners whose
-    /// report has lapsed although they still run.
+    /// Last known address of each owner, in the same order: an owner may still run although its
+    /// report has lapsed.
     #[serde(rename = "a", default)]
     addresses: Vec<Option<SocketAddr>>,
     /// Assignments, each up to the next one: first key, index of the owner, fence.
@@ -97,8 +97,8 @@
     /// Highest fence assigned so far.
     #[serde(rename = "f")]
     highest_fence: u64,
-    /// Time of the store's clock in milliseconds at which the owner's last grant has expired, by the
-    /// first key of the assignment; only where that is known.
+    /// Time of the store's clock in milliseconds at which the owner's last grant has expired, by
+    /// the first key of the assignment; only where that is known.
     #[serde(rename = "e", default, skip_serializing_if = "BTreeMap::is_empty")]
     expiries: BTreeMap<u16, u64>,
 }
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -1,5 +1,5 @@
-//! Assignments survive a round trip through their rows, rows fit the store's limit, and invalid rows
-//! are rejected.
+//! Assignments survive a round trip through their rows, rows fit the store's limit, and invalid
+//! rows are rejected.
 
 use {
     super::{AssignmentRowValue, encode},
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -272,8 +272,8 @@
     sharded.map(|(name, _)| name.clone()).collect()
 }
 
-/// Does one round of work for a service. Its assignments are recorded in a task of their own, so that
-/// renewals do not wait for the store.
+/// Does one round of work for a service. A separate task records its assignments, so that renewals
+/// do not wait for the store.
 fn manage_service(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
     ensure_service_state(context, state, name);
     let now = Instant::now();
@@ -370,7 +370,7 @@
     if warm.is_empty() { select(true) } else { warm }
 }
 
-/// Returns the owners that no longer report and whose address belongs to a target that started later.
+/// Returns the owners without a report whose address belongs to a target that started later.
 ///
 /// Their processes have ended, as an address is given to another target only some time after that.
 fn replaced_owners(context: &Context, service: &ServiceState) -> Vec<TargetIncarnation> {
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -34,7 +34,7 @@
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest time between two reads after failed ones.
 const MAX_READ_INTERVAL: Duration = Duration::from_millis(1200);
-/// Delay per rank of a member's search for a leader and of its claim to a free row, and its maximum.
+/// Delay per rank of a member's search for a leader and of its claim to a free row, and its limit.
 /// Usually the first member claims the row, and the others learn of it from its heartbeats.
 const DELAY_PER_RANK: Duration = Duration::from_millis(150);
 const MAX_RANK_DELAY: Duration = Duration::from_millis(1800);
@@ -157,7 +157,7 @@
             paused_until = Instant::now() + CLAIM_PAUSE;
             last_resignation = Some(Instant::now());
         }
-        // Continues after the interval, or at once if another instance asks for a read of the table.
+        // Continues after the interval, or at once if another instance requests a read.
         let is_requested = timeout(POLL_INTERVAL, context.refresh_requested.notified())
             .await
             .is_ok();
@@ -167,7 +167,8 @@
     }
 }
 
-/// Returns whether there has been no heartbeat while the members before this one could claim the row.
+/// Returns whether heartbeats are missing for so long that members before this one could have
+/// claimed the row.
 fn is_leader_missing(context: &Context) -> bool {
     let timeout = HEARTBEAT_TIMEOUT + rank_delay(context, Duration::ZERO);
     let last = context.last_heartbeat.get();
@@ -264,8 +265,8 @@
     }
 }
 
-/// Returns the time of the store's clock after which none of a leader's grants is in force: the time
-/// in a released row, or else the latest expiry of a grant sent at the end of the lease.
+/// Returns the time of the store's clock after which none of a leader's grants is in force: as
+/// stated in a released row, or else the latest expiry of a grant sent at the end of the lease.
 fn grants_end(context: &Context, row: &LeaderRowValue) -> Option<Duration> {
     let recorded = row.grants_expire.map(Duration::from_millis);
     let max_lifetime = max_grant_lifetime(
@@ -275,8 +276,8 @@
     recorded.or_else(|| Some(Duration::from_millis(row.lease_start?) + LEASE_TTL + max_lifetime))
 }
 
-/// Applies a service's assignments from the store unless a later version is known. The same version is
-/// replaced, too, as a row contains more than heartbeats do.
+/// Applies a service's assignments from the store unless a later version is known. The same version
+/// is replaced, too, as a row contains more than heartbeats do.
 fn apply_assignments(context: &Context, service: &str, row: &Row, all_rows: &[Row]) {
     let mut owners = context.owners.borrow_mut();
     let known = owners.get_mut(service);
@@ -364,8 +365,8 @@
     context.leader_work.notify_one();
 }
 
-/// Returns the store timestamp for the leader's row. If none is known, it is zero: a lease from there
-/// has expired already, and the response brings a timestamp for the next write.
+/// Returns the store timestamp for the leader's row. If none is known, it is zero: a lease from
+/// there has expired already, and the response brings a timestamp for the next write.
 fn timestamp_to_write(context: &Context, now: LocalTime) -> StoreTimestamp {
     let timestamp = context.election.borrow().store_timestamp();
     timestamp.unwrap_or(StoreTimestamp {
@@ -377,7 +378,7 @@
     })
 }
 
-/// Applies the result of a write of the leader's row that contained `written` and was sent at `sent`.
+/// Applies the result of a write that was sent at `sent` with `written` in the leader's row.
 fn apply_write_result(
     context: &Context,
     (written, sent): (StoreTimestamp, LocalTime),
@@ -410,8 +411,8 @@
     }
 }
 
-/// Records a service's assignments on the condition that this instance still leads and that `before`
-/// is the recorded version.
+/// Records a service's assignments on the condition that this instance still leads and that
+/// `before` is the recorded version.
 pub async fn record_assignments(
     context: &Context,
     service: &Name,
@@ -520,8 +521,8 @@
     Some(context.store_time_bound()?.latest + leader_loop::remaining_grant_time(context)?)
 }
 
-/// Returns the leader's row to write. `release` is `Some` to release the row, with the time after which
-/// no grant of this leader is in force, if that is known.
+/// Returns the leader's row to write. `release` is `Some` to release the row, with the time after
+/// which no grant of this leader is in force, if that is known.
 fn new_row(context: &Context, time: StoreTimestamp, release: Option<Option<Duration>>) -> RowWrite {
     let value = LeaderRowValue {
         name: context.settings.name.clone(),
