--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -74,7 +74,7 @@
     spawn_local(datagram::receive(context.clone()));
     spawn_local(beat::report(context.clone()));
     spawn_local(permit::serve(context.clone()));
-    spawn_local(leader_row::maintain(context.clone()));
+    spawn_local(leader_row::run_election(context.clone()));
     spawn_local(leader_loop::run(context.clone()));
     spawn_local(tell_thinned(context.clone()));
     spawn_local(reloads(context.clone(), path, overrides, reload));
--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -97,7 +97,8 @@
     }
 
     /// Compares the unconfirmed table with the store's; returns whether the store has either this
-    /// table or the one before it. If it has any other, the service's state is dropped.
+    /// table or the last confirmed one. Any other comes from another leader; then the service's
+    /// state is dropped.
     fn compare_with_store(&self, unconfirmed: &AssignmentTable) -> bool {
         let stored = self.context.owners.borrow().get(&self.name).cloned();
         let version = stored.as_ref().map_or(0, |it| it.version);
@@ -190,20 +191,22 @@
         .iter()
         .filter(|(id, _)| incarnations.contains_key(*id));
     let mut by_load = TargetsByLoad::new(candidates, &target_loads);
-    let table = service
-        .manager
-        .propose_table(context.store_time_bound(), |assignment, wanted| {
-            let wanted = wanted.filter(|wanted| capacities.contains_key(*wanted));
-            let chosen = match wanted.and_then(|wanted| incarnations.get(wanted)) {
-                Some(incarnation) => incarnation,
-                None => incarnations.get(by_load.least_loaded()?)?,
-            };
-            by_load.add_load(
-                &chosen.id,
-                key_loads.range_load(assignment.first, assignment.last),
-            );
-            Some(chosen.clone())
-        });
+    let table =
+        service
+            .manager
+            .propose_table(context.store_time_bound(), |assignment, preferred| {
+                // The target of the transfer that freed the keys, if there was one.
+                let preferred = preferred.filter(|preferred| capacities.contains_key(*preferred));
+                let chosen = match preferred.and_then(|preferred| incarnations.get(preferred)) {
+                    Some(incarnation) => incarnation,
+                    None => incarnations.get(by_load.least_loaded()?)?,
+                };
+                by_load.add_load(
+                    &chosen.id,
+                    key_loads.range_load(assignment.first, assignment.last),
+                );
+                Some(chosen.clone())
+            });
     table.map(|table| (service.recorded_version, table))
 }
 
--- a/crates/cowslipcross/src/lead/assignment_rows.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows.rs
@@ -60,7 +60,7 @@
 /// read together with the row.
 ///
 /// # Errors
-/// Says what is invalid or which part is missing.
+/// Fails if the JSON is invalid or a part is missing.
 pub fn decode(service: &str, row: &Row, all_rows: &[Row]) -> Result<AssignmentRowValue, String> {
     let value = row.value.as_deref().unwrap_or_default();
     let describe = |error: serde_json::Error| error.to_string();
--- a/crates/cowslipcross/src/lead/command_sender.rs
+++ b/crates/cowslipcross/src/lead/command_sender.rs
@@ -18,12 +18,13 @@
     tokio::sync::Mutex,
 };
 
-/// Timeout of a grant.
+/// Timeout of the call that sends a grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time from the check of the lease to the arrival of a grant at the target. It exceeds
-/// [`GRANT_TIMEOUT`], since a process that gets no CPU time may send the grant after the timeout.
+/// Longest time from the check of the lease, right before a grant is sent, to the grant's arrival;
+/// part of the grant's latest expiry. It exceeds [`GRANT_TIMEOUT`], since a process that gets no
+/// CPU time may send the grant after the timeout.
 pub const DELIVERY_LIMIT: Duration = Duration::from_millis(800);
-/// Timeout of a release, which the target answers once the work on the keys has ended.
+/// Timeout of the call that sends a release; the target answers once work on the keys has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Sends commands over connections that it keeps for each target.
@@ -45,8 +46,8 @@
     /// Sends a command to the owner of its keys and records the outcome.
     ///
     /// A grant may wait for earlier ones. Right before the send, the command is dropped if this
-    /// instance no longer leads or `is_current` returns false, which means that the manager that
-    /// issued the command was replaced.
+    /// instance no longer leads, or if `is_current` returns false because the state machine that
+    /// issued the command was dropped or replaced.
     pub async fn send(
         &self,
         context: &Context,
@@ -160,12 +161,12 @@
     let (code, summary) = match (command, outcome) {
         (Command::Grant { .. }, CommandOutcome::Accepted) => return,
         (Command::Grant { .. }, CommandOutcome::StaleFence) => {
-            (events::GRANT_REFUSED, "higher fence seen")
+            (events::GRANT_REFUSED, "target has a higher fence")
         }
         (Command::Release { .. }, CommandOutcome::Released(_)) => {
             (events::ASSIGNMENT_RELEASED, "released")
         }
-        (_, CommandOutcome::TargetEnded) => (events::COMMAND_FAILED, "process has ended"),
+        (_, CommandOutcome::TargetEnded) => (events::COMMAND_FAILED, "target process has ended"),
         (_, CommandOutcome::Unsent) => (events::COMMAND_FAILED, "not sent"),
         _ => (events::COMMAND_FAILED, "no valid response"),
     };
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -32,7 +32,7 @@
 
 /// Longest time between two rounds of the leader loop.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause after each round, for each target: a round costs CPU time for each of them.
+/// Additional pause after each round, for each target: a round costs CPU time for each of them.
 const PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
 /// Shortest time between two heartbeats, for each member.
 const HEARTBEAT_GAP_PER_MEMBER: Duration = Duration::from_micros(400);
@@ -46,11 +46,11 @@
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Longest time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Delay of a heartbeat with new owners, so that the grants to them arrive first.
+/// Delay of a heartbeat with new owners, so that the grants to them usually arrive first.
 const NEW_OWNERS_DELAY: Duration = Duration::from_millis(3);
-/// Keys get their first owners once the number of targets has not changed for this time.
+/// Keys get their first owners once the number of targets has been the same for this time.
 const STABLE_TARGETS_TIME: Duration = Duration::from_millis(1000);
-/// Time after which they get them in any case.
+/// Time after which keys get their first owners even if the number of targets still changes.
 const MAX_TARGETS_WAIT: Duration = Duration::from_millis(3500);
 /// Shortest time between two rebalances of a service.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
@@ -58,7 +58,8 @@
 /// [`TARGETS_PER_TRANSFER`] targets.
 const BASE_TRANSFERS: usize = 6;
 const TARGETS_PER_TRANSFER: usize = 8;
-/// Bound on transfers times targets in one rebalance: each transfer is chosen among all targets.
+/// Bound on transfers times targets in one rebalance, except that one transfer is always allowed:
+/// each transfer is chosen among all targets.
 const MAX_TARGET_CHECKS: usize = 10_000;
 
 /// Bounds of a target's speed in relation to the mean.
@@ -101,7 +102,7 @@
     last_rebalance: Instant,
     /// Number of targets that may own keys, and since when it has not changed; used only until the
     /// first owners are recorded.
-    target_count: (usize, Instant),
+    stable_targets: (usize, Instant),
 }
 
 impl ServiceState {
@@ -110,10 +111,10 @@
         if self.recorded_version > 0 {
             return false;
         }
-        if count != self.target_count.0 {
-            self.target_count = (count, now);
+        if count != self.stable_targets.0 {
+            self.stable_targets = (count, now);
         }
-        let is_stable = count > 0 && now - self.target_count.1 >= STABLE_TARGETS_TIME;
+        let is_stable = count > 0 && now - self.stable_targets.1 >= STABLE_TARGETS_TIME;
         !is_stable && now - self.started_at < MAX_TARGETS_WAIT
     }
 }
@@ -219,7 +220,7 @@
             state.epoch = epoch;
         }
         if !context.is_leader() || context.leader_since.get().is_none() {
-            // Only the epoch has to be followed here, which may take longer.
+            // Here only the states of an old epoch have to be dropped, which may take longer.
             let _ = timeout(4 * POLL_INTERVAL, context.leader_work.notified()).await;
             continue;
         }
@@ -232,7 +233,7 @@
         // Changes are announced without waiting for the heartbeat interval.
         let versions = AnnouncedVersions::current(&context);
         if versions.owners != announced.owners {
-            // New owners must have their grants before requests are routed to them.
+            // New owners should have their grants before requests are routed to them.
             sleep(NEW_OWNERS_DELAY).await;
         }
         let member_count = context.membership.borrow().members().len() as u32;
@@ -333,7 +334,7 @@
         last_recording: None,
         started_at: now,
         last_rebalance: now,
-        target_count: (0, now),
+        stable_targets: (0, now),
     };
     state.services.insert(name.clone(), service);
 }
@@ -443,7 +444,8 @@
 
 /// Sends the commands that are due, each in a task of its own.
 fn send_commands(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    let is_store_unreachable = context
+    // If the store may be unreachable, grants get the longest TTL.
+    let is_renewal_overdue = context
         .election
         .borrow()
         .is_renewal_overdue(clock::local_time());
@@ -454,7 +456,7 @@
     let started_at = service.started_at;
     for command in service
         .manager
-        .next_commands(is_store_unreachable, Instant::now())
+        .next_commands(is_renewal_overdue, Instant::now())
     {
         let (context, state, name) = (context.clone(), state.clone(), name.clone());
         spawn_local(async move {
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -28,21 +28,23 @@
 const STORE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Longest time between two steps of the election.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reads while no heartbeats arrive.
+/// Time between two reads in search of a leader, while no heartbeats arrive.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(600);
 /// Shortest time between two reads.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest time between two reads after failed ones.
 const MAX_READ_INTERVAL: Duration = Duration::from_millis(1200);
-/// Delay per rank of a member's search for a leader and of its claim to a free row, and its limit.
-/// Usually the first member claims the row, and the others learn of it from its heartbeats.
-const DELAY_PER_RANK: Duration = Duration::from_millis(150);
-const MAX_RANK_DELAY: Duration = Duration::from_millis(1800);
-/// Delay of an instance below [`STRONG_WEIGHT`] that has no rank, as it knows no members yet.
+/// Delay of a member's search for a leader and of its claim to a free row, per position in the
+/// membership, and its limit. Usually the first member claims the row, and the others learn of it
+/// from its heartbeats.
+const DELAY_PER_POSITION: Duration = Duration::from_millis(150);
+const MAX_POSITION_DELAY: Duration = Duration::from_millis(1800);
+/// Additional delay of an instance below [`STRONG_WEIGHT`] without a position, so that stronger
+/// ones claim the row first.
 const WEAK_DELAY: Duration = Duration::from_millis(150);
-/// Longest random delay that each instance without a rank adds.
+/// Longest random delay of an instance without a position.
 const MAX_RANDOM_DELAY: Duration = Duration::from_millis(300);
-/// Weight from which an instance can lead a large deployment.
+/// Weight, in hundredths of a core, from which an instance can lead a large deployment.
 const STRONG_WEIGHT: u8 = 30;
 /// Time as leader after which an instance resigns if another member's weight is at least
 /// [`STRONGER_FACTOR`] times its own.
@@ -115,7 +117,7 @@
 }
 
 /// Runs this instance's part in the election: claims, renews and releases the leader's row.
-pub async fn maintain(context: Rc<Context>) {
+pub async fn run_election(context: Rc<Context>) {
     let started_at = Instant::now();
     let mut reads = ReadSchedule {
         last_read: started_at,
@@ -170,29 +172,30 @@
 /// Returns whether heartbeats are missing for so long that members before this one could have
 /// claimed the row.
 fn is_leader_missing(context: &Context) -> bool {
-    let timeout = HEARTBEAT_TIMEOUT + rank_delay(context, Duration::ZERO);
+    let timeout = HEARTBEAT_TIMEOUT + position_delay(context, Duration::ZERO);
     let last = context.last_heartbeat.get();
     last.is_none_or(|last| last.elapsed() > timeout)
 }
 
 /// Returns the delay of this instance's claim to a free row, which also applies to its own row if a
-/// much stronger member is known; `random_delay` counts while it has no rank.
+/// much stronger member is known, so that this one can claim it. `random_delay` counts while it has no
+/// position.
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
     let other = context.membership.borrow().strongest(own);
     ClaimDelay {
-        duration: rank_delay(context, random_delay),
+        duration: position_delay(context, random_delay),
         includes_own: other.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER_FACTOR)),
     }
 }
 
 /// Returns the time for which this instance waits for the members before it.
-fn rank_delay(context: &Context, random_delay: Duration) -> Duration {
+fn position_delay(context: &Context, random_delay: Duration) -> Duration {
     let own = context.settings.listen.heartbeats;
     let is_weak = membership::weight(context.settings.cpu) < STRONG_WEIGHT;
     match context.membership.borrow().rank(own) {
-        Some(rank) => (DELAY_PER_RANK * rank as u32).min(MAX_RANK_DELAY),
+        Some(position) => (DELAY_PER_POSITION * position as u32).min(MAX_POSITION_DELAY),
         None if is_weak => WEAK_DELAY + random_delay,
         None => random_delay,
     }
@@ -244,10 +247,10 @@
     });
     let value = row.and_then(|row| row.value.as_deref());
     let value: Option<LeaderRowValue> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let own = value.as_ref().is_some_and(|it| it.run == context.run_id);
+    let is_own_row = value.as_ref().is_some_and(|it| it.run == context.run_id);
     let stored = LeaderRow {
         version: row.map_or(0, |row| row.version),
-        is_own: own,
+        is_own: is_own_row,
         released: value.as_ref().is_none_or(|it| it.run.is_empty()),
         lease_start: value
             .as_ref()
@@ -260,7 +263,7 @@
         .election
         .borrow_mut()
         .apply_row(stored, clock::local_time(), timestamp);
-    if let Some(value) = value.filter(|_| !own) {
+    if let Some(value) = value.filter(|_| !is_own_row) {
         context.leader_address.set(Some(value.heartbeats));
     }
 }
@@ -389,17 +392,18 @@
             version,
             store_time: now,
         }) => {
-            let answered = now.map_or(written, |time| StoreTimestamp {
+            let response_timestamp = now.map_or(written, |time| StoreTimestamp {
                 store_time: time,
                 sent_at: sent,
             });
             context
                 .election
                 .borrow_mut()
-                .confirm_write(written, *version, answered);
+                .confirm_write(written, *version, response_timestamp);
         }
         Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == ROW_KEY) {
             true => apply_leader_row(context, rows, sent),
+            // The response lacks the leader's row, so it has to be read.
             false => context.election.borrow_mut().mark_write_unanswered(),
         },
         Err(error) if error.is_outcome_unknown() => {
@@ -411,12 +415,12 @@
     }
 }
 
-/// Records a service's assignments on the condition that this instance still leads and that
-/// `before` is the recorded version.
+/// Records a service's assignments on the condition that this instance still leads and the recorded
+/// version is `previous_version`.
 pub async fn record_assignments(
     context: &Context,
     service: &Name,
-    before: u64,
+    previous_version: u64,
     table: &AssignmentTable,
 ) -> RecordingOutcome {
     let guard = context.write_lock.lock().await;
@@ -431,7 +435,7 @@
     };
     let sent = clock::local_time();
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [check(ROW_KEY, row_version), check(&key, before)];
+    let checks = [check(ROW_KEY, row_version), check(&key, previous_version)];
     writes.push(new_row(context, timestamp, None));
     let result = context
         .router_store
@@ -442,9 +446,10 @@
     apply_write_result(context, (timestamp, sent), &result);
     match result {
         Ok(CommitOutcome::Committed { version, .. }) => {
-            apply_recorded(context, service, (before, version), table);
+            apply_recorded(context, service, (previous_version, version), table);
             RecordingOutcome::Recorded
         }
+        // The store may have assignments that are not known here; the recorder reads them next.
         Ok(CommitOutcome::Conflict(_)) => RecordingOutcome::Unknown,
         Err(error) if error.is_outcome_unknown() => RecordingOutcome::Unknown,
         Err(_) => RecordingOutcome::NotRecorded,
@@ -455,13 +460,15 @@
 fn apply_recorded(
     context: &Context,
     service: &Name,
-    (before, version): (u64, u64),
+    (previous_version, version): (u64, u64),
     table: &AssignmentTable,
 ) {
     let mut owners = context.owners.borrow_mut();
-    let previous = owners.get(service).filter(|it| it.version == before);
+    let previous = owners
+        .get(service)
+        .filter(|it| it.version == previous_version);
     let change = previous.map(|previous| AssignmentChange {
-        base_version: before,
+        base_version: previous_version,
         assignments: table.changes_since(&previous.table),
         recorded_at: Instant::now(),
     });
@@ -530,6 +537,7 @@
             None => context.run_id.clone(),
             Some(_) => String::new(),
         },
+        // Rounded up to whole milliseconds.
         grants_expire: release.flatten().map(|until| until.as_millis() as u64 + 1),
         heartbeats: context.settings.listen.heartbeats,
         lease_start: Some(time.store_time.as_millis() as u64),
