--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -178,8 +178,8 @@
 }
 
 /// Returns the delay of this instance's claim to a free row, which also applies to its own row if a
-/// much stronger member is known, so that this one can claim it. `random_delay` counts while it has no
-/// position.
+/// much stronger member is known, so that this one can claim it. `random_delay` counts without
+/// a position.
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
