--- a/crates/cowslipctl/src/commands.rs
+++ b/crates/cowslipctl/src/commands.rs
@@ -6,7 +6,7 @@
         error::{Error, ExitStatus, Result},
         explain,
         output::CommandOutput,
-        settings, status, timeline,
+        settings_loader, status, timeline,
     },
     clap::ArgMatches,
     std::{
@@ -51,7 +51,7 @@
 
 async fn run_subcommand(matches: &ArgMatches) -> Result<CommandOutput> {
     let Some((name, matches)) = matches.subcommand() else {
-        return Err(Error::Usage("expected a subcommand".to_owned()));
+        return Err(Error::MissingInput("expected a subcommand".to_owned()));
     };
     if name == "check" {
         return configuration::check_file(required(matches, "file"));
@@ -59,7 +59,7 @@
     if name == "explain" {
         return explain::explain_request(matches);
     }
-    let settings = settings::load(matches)?;
+    let settings = settings_loader::load_settings(matches)?;
     match name {
         "show" => configuration::show_stored(&settings).await,
         "status" => status::show_status(&settings).await,
--- a/crates/cowslipctl/src/configuration.rs
+++ b/crates/cowslipctl/src/configuration.rs
@@ -36,7 +36,8 @@
 
 /// Shows the configuration in the store and the withdrawn data centres.
 pub(crate) async fn show_stored(settings: &OperatorSettings) -> Result<CommandOutput> {
-    let lacking = || Error::Usage("settings: store: missing, expected an address".to_owned());
+    let lacking =
+        || Error::MissingInput("settings: store: missing, expected an address".to_owned());
     let address = settings.store.ok_or_else(lacking)?;
     let limit = Duration::from_millis(settings.timeout_ms);
     let rows = Store::new(address).rows(OPERATOR_TABLE, limit).await;
--- a/crates/cowslipctl/src/error.rs
+++ b/crates/cowslipctl/src/error.rs
@@ -31,7 +31,7 @@
     /// The settings of the command are not valid.
     Settings(SettingsError),
     /// The settings lack what the subcommand needs.
-    Usage(String),
+    MissingInput(String),
     /// A file cannot be read or written.
     File {
         /// Name of the file.
@@ -61,7 +61,7 @@
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Failure(_) => ExitStatus::Failure,
-            Self::Settings(_) | Self::Usage(_) | Self::File { .. } => ExitStatus::Usage,
+            Self::Settings(_) | Self::MissingInput(_) | Self::File { .. } => ExitStatus::Usage,
             Self::Unreachable(_) => ExitStatus::Unreachable,
         }
     }
@@ -71,7 +71,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Settings(error) => error.fmt(f),
-            Self::Failure(message) | Self::Usage(message) => message.fmt(f),
+            Self::Failure(message) | Self::MissingInput(message) => message.fmt(f),
             Self::File { file, cause } => write!(f, "{file}: {cause}"),
             Self::Unreachable(cause) => write!(f, "store unreachable: {cause}"),
         }
--- a/crates/cowslipctl/src/lib.rs
+++ b/crates/cowslipctl/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod timeline;
 
 mod configuration;
-mod settings;
+mod settings_loader;
 mod status;
--- a/crates/cowslipctl/src/settings.rs
+++ b/crates/cowslipctl/src/settings_loader.rs
@@ -17,7 +17,7 @@
 const FILE: &str = "COWSLIPCTL_SETTINGS";
 
 /// Returns the settings; flags go over the variable, and both over the file.
-pub(crate) fn load(matches: &ArgMatches) -> Result<OperatorSettings> {
+pub(crate) fn load_settings(matches: &ArgMatches) -> Result<OperatorSettings> {
     let given = matches.get_one::<PathBuf>("settings").cloned();
     let file = given.or_else(|| env::var_os(FILE).map(PathBuf::from));
     let token = env::var(TOKEN).ok().map(|value| format!("token={value:?}"));
--- a/crates/cowslipctl/src/status.rs
+++ b/crates/cowslipctl/src/status.rs
@@ -50,7 +50,7 @@
 pub(crate) fn exit<T>(settings: &OperatorSettings, answers: &Responses<T>) -> Result<ExitStatus> {
     if settings.instances.is_empty() {
         let message = "settings: instances: missing, expected at least one address";
-        return Err(Error::Usage(message.to_owned()));
+        return Err(Error::MissingInput(message.to_owned()));
     }
     Ok(
         match (answers.reached.is_empty(), answers.unreachable.is_empty()) {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -23,7 +23,7 @@
         /// Where the text goes wrong.
         location: Location,
         /// What the parser says.
-        message: String,
+        cause: String,
     },
     /// A field that does not exist.
     UnknownField {
@@ -110,8 +110,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable { file, cause } => write!(f, "{file}: cannot be read: {cause}"),
-            Self::Syntax { location, message } => {
-                write!(f, "{location}: not valid TOML: {message}")
+            Self::Syntax { location, cause } => {
+                write!(f, "{location}: not valid TOML: {cause}")
             }
             Self::UnknownField {
                 location,
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -29,7 +29,7 @@
     /// `ip:port` with a port of 1 or more.
     Address,
     /// A time with its unit as a text; an empty one stands for the default.
-    Duration,
+    TimeSpan,
     /// A number of 0 or more, also as a text; an empty one stands for the default.
     Decimal,
 }
@@ -57,11 +57,11 @@
 impl fmt::Display for ValueType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Text(low, high) => write!(f, "a text of {low} to {high} bytes"),
-            Self::Secret(low, high) => write!(f, "a secret text of {low} to {high} bytes"),
-            Self::Integer(low, high) => write!(f, "a whole number from {low} to {high}"),
+            Self::Text(min, max) => write!(f, "a text of {min} to {max} bytes"),
+            Self::Secret(min, max) => write!(f, "a secret text of {min} to {max} bytes"),
+            Self::Integer(min, max) => write!(f, "a whole number from {min} to {max}"),
             Self::Address => f.write_str("an address as ip:port with a port from 1 to 65535"),
-            Self::Duration => f.write_str("a time such as \"2500ms\" or \"6s\", at most a day"),
+            Self::TimeSpan => f.write_str("a time such as \"2500ms\" or \"6s\", at most a day"),
             Self::Decimal => f.write_str("a number of 0 or more"),
         }
     }
--- a/crates/settings/src/process/bounds.rs
+++ b/crates/settings/src/process/bounds.rs
@@ -81,7 +81,7 @@
 const fn time(path: &'static str, default: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        value_type: ValueType::Duration,
+        value_type: ValueType::TimeSpan,
         unit: "",
         default: Some(default),
         description,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -86,7 +86,7 @@
     pub fn parse(&self) -> Result<Spanned<DeTable<'a>>> {
         DeTable::parse(self.text).map_err(|error| Error::Syntax {
             location: self.location(&error.span().unwrap_or(0..0)),
-            message: error.message().to_owned(),
+            cause: error.message().to_owned(),
         })
     }
 
@@ -260,14 +260,14 @@
 impl<'a> Found<'a> {
     /// Returns the number within the bounds of `kind`.
     pub fn number(&self, kind: ValueType) -> Result<u64> {
-        let number = self
+        let value = self
             .value
             .get_ref()
             .as_integer()
             .and_then(|digits| u64::from_str_radix(digits.as_str(), digits.radix()).ok());
-        match (number, kind) {
-            (Some(number), ValueType::Integer(low, high)) if (low..=high).contains(&number) => {
-                Ok(number)
+        match (value, kind) {
+            (Some(value), ValueType::Integer(min, max)) if (min..=max).contains(&value) => {
+                Ok(value)
             }
             _ => Err(self.invalid(kind.to_string())),
         }
@@ -291,7 +291,7 @@
     fn time(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
         let time = text.and_then(|text| duration(text).ok());
-        time.ok_or_else(|| self.invalid(ValueType::Duration.to_string()))
+        time.ok_or_else(|| self.invalid(ValueType::TimeSpan.to_string()))
     }
 
     /// Returns the number, which may stand in a text.
@@ -347,11 +347,11 @@
 
 fn fits(kind: ValueType, text: &str) -> bool {
     match kind {
-        ValueType::Text(low, high) | ValueType::Secret(low, high) => {
-            (low..=high).contains(&text.len())
+        ValueType::Text(min, max) | ValueType::Secret(min, max) => {
+            (min..=max).contains(&text.len())
         }
         ValueType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
-        ValueType::Integer(..) | ValueType::Duration | ValueType::Decimal => false,
+        ValueType::Integer(..) | ValueType::TimeSpan | ValueType::Decimal => false,
     }
 }
 
