--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -23,7 +23,7 @@
         /// Where the text goes wrong.
         location: Location,
         /// What the parser says.
-        cause: String,
+        detail: String,
     },
     /// A field that does not exist.
     UnknownField {
@@ -110,9 +110,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable { file, cause } => write!(f, "{file}: cannot be read: {cause}"),
-            Self::Syntax { location, cause } => {
-                write!(f, "{location}: not valid TOML: {cause}")
-            }
+            Self::Syntax { location, detail } => write!(f, "{location}: not valid TOML: {detail}"),
             Self::UnknownField {
                 location,
                 path,
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -8,7 +8,7 @@
     /// Path without indices; `*` stands for any name.
     pub path: &'static str,
     /// Type and bounds.
-    pub value_type: ValueType,
+    pub data_type: DataType,
     /// Unit of a number, or nothing.
     pub unit: &'static str,
     /// Value of an absent field; `None` if the field must be there.
@@ -19,7 +19,7 @@
 
 /// Type of a field with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ValueType {
+pub enum DataType {
     /// Text of so many bytes.
     Text(usize, usize),
     /// Text of so many bytes that errors do not repeat.
@@ -49,12 +49,12 @@
         };
         format!(
             "| `{}` | {} | {} | {} | {} |",
-            self.path, self.value_type, self.unit, default, self.description
+            self.path, self.data_type, self.unit, default, self.description
         )
     }
 }
 
-impl fmt::Display for ValueType {
+impl fmt::Display for DataType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Text(min, max) => write!(f, "a text of {min} to {max} bytes"),
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, ValueType},
+        field::{DataType, Field},
         overrides::Overrides,
         reader::{self, Section},
     },
@@ -13,28 +13,28 @@
 
 const TOKEN: Field = Field {
     path: "token",
-    value_type: ValueType::Secret(0, 256),
+    data_type: DataType::Secret(0, 256),
     unit: "",
     default: Some(""),
     description: "Secret of the operators' ports.",
 };
 const STORE: Field = Field {
     path: "store",
-    value_type: ValueType::Address,
+    data_type: DataType::Address,
     unit: "",
     default: Some(""),
     description: "Address of the platform's store; `show` needs it.",
 };
 const TIMEOUT: Field = Field {
     path: "timeout_ms",
-    value_type: ValueType::Integer(10, 600_000),
+    data_type: DataType::Integer(10, 600_000),
     unit: "ms",
     default: Some("2000"),
     description: "Longest time for a call of the store or of an instance.",
 };
 const INSTANCE: Field = Field {
     path: "instances.*",
-    value_type: ValueType::Address,
+    data_type: DataType::Address,
     unit: "",
     default: None,
     description: "Address of the operators' port of the instance of that name.",
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, ValueType},
+        field::{DataType, Field},
         overrides::Overrides,
         reader::{self, Section},
     },
@@ -18,28 +18,28 @@
 
 const NAME: Field = Field {
     path: "name",
-    value_type: ValueType::Text(1, 200),
+    data_type: DataType::Text(1, 200),
     unit: "",
     default: None,
     description: "Name of the instance, unique in a deployment.",
 };
 const DATA_CENTRE: Field = Field {
     path: "data_centre",
-    value_type: ValueType::Text(1, 200),
+    data_type: DataType::Text(1, 200),
     unit: "",
     default: None,
     description: "Data centre of the instance.",
 };
 const STORE: Field = Field {
     path: "store",
-    value_type: ValueType::Address,
+    data_type: DataType::Address,
     unit: "",
     default: None,
     description: "Address of the platform's store.",
 };
 const TOKEN: Field = Field {
     path: "token",
-    value_type: ValueType::Secret(0, 256),
+    data_type: DataType::Secret(0, 256),
     unit: "",
     default: Some(""),
     description: "Secret for `/status` and `/events`; without one these are closed.",
@@ -47,7 +47,7 @@
 
 const CPU: Field = Field {
     path: "cpu",
-    value_type: ValueType::Decimal,
+    data_type: DataType::Decimal,
     unit: "cores",
     default: Some("1"),
     description: "Part of a core that the instance has; those with more do more for the others.",
--- a/crates/settings/src/process/bounds.rs
+++ b/crates/settings/src/process/bounds.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, ValueType},
+        field::{DataType, Field},
         reader::Section,
     },
     std::time::Duration,
@@ -81,7 +81,7 @@
 const fn time(path: &'static str, default: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        value_type: ValueType::TimeSpan,
+        data_type: DataType::TimeSpan,
         unit: "",
         default: Some(default),
         description,
@@ -91,7 +91,7 @@
 const fn share(path: &'static str, default: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        value_type: ValueType::Decimal,
+        data_type: DataType::Decimal,
         unit: "",
         default: Some(default),
         description,
--- a/crates/settings/src/process/listen.rs
+++ b/crates/settings/src/process/listen.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::Result,
-        field::{Field, ValueType},
+        field::{DataType, Field},
         reader::Section,
     },
     std::net::SocketAddr,
@@ -54,7 +54,7 @@
 const fn field(path: &'static str, description: &'static str) -> Field {
     Field {
         path,
-        value_type: ValueType::Address,
+        data_type: DataType::Address,
         unit: "",
         default: None,
         description,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::{Error, Location, Result},
-        field::{Field, ValueType},
+        field::{DataType, Field},
         overrides::Overrides,
     },
     cowslip_adapter::text::duration,
@@ -86,7 +86,7 @@
     pub fn parse(&self) -> Result<Spanned<DeTable<'a>>> {
         DeTable::parse(self.text).map_err(|error| Error::Syntax {
             location: self.location(&error.span().unwrap_or(0..0)),
-            cause: error.message().to_owned(),
+            detail: error.message().to_owned(),
         })
     }
 
@@ -122,7 +122,7 @@
     /// Returns the checked value of a field, or its default.
     pub fn number(&self, field: &Field) -> Result<u64> {
         match self.find(field.key()) {
-            Some(found) => found.number(field.value_type),
+            Some(found) => found.number(field.data_type),
             None => self.default(field)?.parse().map_err(|_| self.lack(field)),
         }
     }
@@ -130,7 +130,7 @@
     /// Returns the text of a field, or its default.
     pub fn text(&self, field: &Field) -> Result<Name> {
         match self.find(field.key()) {
-            Some(found) => found.text(field.value_type),
+            Some(found) => found.text(field.data_type),
             None => Ok(self.default(field)?.into()),
         }
     }
@@ -138,7 +138,7 @@
     /// Returns the address of a field, or its default.
     pub fn address(&self, field: &Field) -> Result<SocketAddr> {
         match self.find(field.key()) {
-            Some(found) => found.address(field.value_type),
+            Some(found) => found.address(field.data_type),
             None => self.default(field)?.parse().map_err(|_| self.lack(field)),
         }
     }
@@ -147,7 +147,7 @@
     pub fn optional_address(&self, field: &Field) -> Result<Option<SocketAddr>> {
         let found = self.find(field.key());
         found
-            .map(|found| found.address(field.value_type))
+            .map(|found| found.address(field.data_type))
             .transpose()
     }
 
@@ -174,7 +174,7 @@
         };
         section
             .entries()
-            .map(|(name, found)| Ok((name.into(), found.address(field.value_type)?)))
+            .map(|(name, found)| Ok((name.into(), found.address(field.data_type)?)))
             .collect()
     }
 
@@ -237,7 +237,7 @@
     }
 
     fn lack(&self, field: &Field) -> Error {
-        self.missing(field.key(), field.value_type.to_string())
+        self.missing(field.key(), field.data_type.to_string())
     }
 
     fn known(&self) -> Result<()> {
@@ -259,22 +259,20 @@
 
 impl<'a> Found<'a> {
     /// Returns the number within the bounds of `kind`.
-    pub fn number(&self, kind: ValueType) -> Result<u64> {
-        let value = self
+    pub fn number(&self, kind: DataType) -> Result<u64> {
+        let int = self
             .value
             .get_ref()
             .as_integer()
             .and_then(|digits| u64::from_str_radix(digits.as_str(), digits.radix()).ok());
-        match (value, kind) {
-            (Some(value), ValueType::Integer(min, max)) if (min..=max).contains(&value) => {
-                Ok(value)
-            }
+        match (int, kind) {
+            (Some(int), DataType::Integer(min, max)) if (min..=max).contains(&int) => Ok(int),
             _ => Err(self.invalid(kind.to_string())),
         }
     }
 
     /// Returns the text if it is of `kind`.
-    pub fn text(&self, kind: ValueType) -> Result<Name> {
+    pub fn text(&self, kind: DataType) -> Result<Name> {
         let text = self.value.get_ref().as_str();
         text.filter(|text| fits(kind, text))
             .map(Name::from)
@@ -282,7 +280,7 @@
     }
 
     /// Returns the address if it is of `kind`.
-    pub fn address(&self, kind: ValueType) -> Result<SocketAddr> {
+    pub fn address(&self, kind: DataType) -> Result<SocketAddr> {
         let text = self.text(kind)?;
         text.parse().map_err(|_| self.invalid(kind.to_string()))
     }
@@ -291,7 +289,7 @@
     fn time(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
         let time = text.and_then(|text| duration(text).ok());
-        time.ok_or_else(|| self.invalid(ValueType::TimeSpan.to_string()))
+        time.ok_or_else(|| self.invalid(DataType::TimeSpan.to_string()))
     }
 
     /// Returns the number, which may stand in a text.
@@ -303,7 +301,7 @@
             _ => None,
         };
         let number = number.filter(|it: &f64| it.is_finite() && *it >= 0.0);
-        number.ok_or_else(|| self.invalid(ValueType::Decimal.to_string()))
+        number.ok_or_else(|| self.invalid(DataType::Decimal.to_string()))
     }
 
     /// Returns the error that this value is not what was expected.
@@ -312,9 +310,9 @@
     }
 
     /// Returns the error that this value is not of `kind`, without repeating a secret.
-    fn unfit(&self, kind: ValueType) -> Error {
+    fn unfit(&self, kind: DataType) -> Error {
         match (kind, self.value.get_ref().as_str()) {
-            (ValueType::Secret(..), Some(text)) => {
+            (DataType::Secret(..), Some(text)) => {
                 self.error(kind.to_string(), format!("a text of {} bytes", text.len()))
             }
             _ => self.invalid(kind.to_string()),
@@ -345,13 +343,11 @@
     }
 }
 
-fn fits(kind: ValueType, text: &str) -> bool {
+fn fits(kind: DataType, text: &str) -> bool {
     match kind {
-        ValueType::Text(min, max) | ValueType::Secret(min, max) => {
-            (min..=max).contains(&text.len())
-        }
-        ValueType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
-        ValueType::Integer(..) | ValueType::TimeSpan | ValueType::Decimal => false,
+        DataType::Text(min, max) | DataType::Secret(min, max) => (min..=max).contains(&text.len()),
+        DataType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
+        DataType::Integer(..) | DataType::TimeSpan | DataType::Decimal => false,
     }
 }
 
