--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file, and where.
+//! Errors of settings files and flags, with the location of the fault.
 
 use {
     cowslip_decide::names::Name,
@@ -8,70 +8,70 @@
 /// Result of reading settings.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A refused settings file or flag.
+/// Reason why a settings file or a flag was rejected.
 #[derive(Clone, Debug)]
 pub enum Error {
     /// The file cannot be read.
     Unreadable {
-        /// File that was asked for.
+        /// Path of the file.
         file: Name,
-        /// Answer of the operating system.
+        /// Error of the operating system.
         cause: Arc<io::Error>,
     },
-    /// The text is not TOML.
+    /// The file is not valid TOML.
     Syntax {
-        /// Where the text goes wrong.
+        /// Location of the first syntax error.
         location: Location,
-        /// What the parser says.
+        /// Message of the TOML parser.
         detail: String,
     },
-    /// A field that does not exist.
+    /// The field does not exist.
     UnknownField {
-        /// Where the field stands.
+        /// Location of the field.
         location: Location,
         /// Path of the field.
         path: String,
-        /// Fields that exist there.
+        /// Fields that are allowed in the same table.
         expected: String,
     },
-    /// A field without default is absent.
+    /// A required field is missing.
     MissingField {
-        /// Where the table begins that lacks the field.
+        /// Start of the table that should contain the field.
         location: Location,
         /// Path of the field.
         path: String,
-        /// What the field should hold.
+        /// Expected type and range.
         expected: String,
     },
-    /// A field holds a value of another type, out of bounds or at odds with another field.
+    /// The value has the wrong type or is out of range.
     InvalidValue {
-        /// Where the value stands.
+        /// Location of the value.
         location: Location,
         /// Path of the field.
         path: String,
-        /// What the field should hold.
+        /// Expected type and range.
         expected: String,
-        /// What it holds.
+        /// Value that was found; secrets are left out.
         found: String,
     },
 }
 
-/// Place of a value.
+/// Origin of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// A line of a file, counted from 1.
+    /// A line of a settings file.
     Line {
-        /// Name of the file.
+        /// Path of the file.
         file: Name,
-        /// Number of the line.
+        /// Line number, counted from 1.
         line: usize,
     },
-    /// A flag of the command line.
+    /// A `--set` flag on the command line.
     Flag,
 }
 
 impl Error {
-    /// Returns the path of the field that is wrong, if the error is about one field.
+    /// Returns the path of the faulty field, or `None` if the error concerns the whole file.
     pub fn path(&self) -> Option<&str> {
         match self {
             Self::Unreadable { .. } | Self::Syntax { .. } => None,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the line that is wrong, or `None` for a flag or an unreadable file.
+    /// Returns the line of the fault, or `None` for a flag or an unreadable file.
     pub fn line(&self) -> Option<usize> {
         let location = match self {
             Self::Unreadable { .. } => return None,
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -1,46 +1,46 @@
-//! The fields of settings: type, unit, default, bounds and meaning.
+//! Description of a settings field: type, range, unit, default and purpose.
 
 use std::fmt;
 
-/// One field; the pages of the docs are checked against these.
+/// A settings field; a test compares each with its row in `docs/CONFIGURATION.md`.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Path without indices; `*` stands for any name.
+    /// Dotted path of keys; `*` matches any key.
     pub path: &'static str,
-    /// Type and bounds.
+    /// Type and allowed range.
     pub data_type: DataType,
-    /// Unit of a number, or nothing.
+    /// Unit of a number; empty if it has none.
     pub unit: &'static str,
-    /// Value of an absent field; `None` if the field must be there.
+    /// Default value as text; `None` if the field is required.
     pub default: Option<&'static str>,
-    /// What the field is for.
+    /// Purpose of the field, as printed in the docs.
     pub description: &'static str,
 }
 
-/// Type of a field with its bounds.
+/// Type of a field with its allowed range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DataType {
-    /// Text of so many bytes.
+    /// String with a minimum and maximum length in bytes.
     Text(usize, usize),
-    /// Text of so many bytes that errors do not repeat.
+    /// Like `Text`, but error messages never contain the value.
     Secret(usize, usize),
-    /// A whole number within bounds, both included.
+    /// Integer between a minimum and a maximum, both included.
     Integer(u64, u64),
     /// `ip:port` with a port of 1 or more.
     Address,
-    /// A time with its unit as a text; an empty one stands for the default.
+    /// String with a duration and its unit; an empty string selects the default.
     TimeSpan,
-    /// A number of 0 or more, also as a text; an empty one stands for the default.
+    /// Number of 0 or more, also in a string; an empty string selects the default.
     Decimal,
 }
 
 impl Field {
-    /// Returns the last segment of the path.
+    /// Returns the last key of the path.
     pub fn key(&self) -> &'static str {
         self.path.rsplit('.').next().unwrap_or(self.path)
     }
 
-    /// Returns the row of this field in `docs/CONFIGURATION.md`.
+    /// Returns the row for this field in the table of `docs/CONFIGURATION.md`.
     pub fn markdown_row(&self) -> String {
         let default = match self.default {
             None => "required".to_owned(),
@@ -57,11 +57,11 @@
 impl fmt::Display for DataType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Text(min, max) => write!(f, "a text of {min} to {max} bytes"),
-            Self::Secret(min, max) => write!(f, "a secret text of {min} to {max} bytes"),
-            Self::Integer(min, max) => write!(f, "a whole number from {min} to {max}"),
+            Self::Text(min, max) => write!(f, "a string of {min} to {max} bytes"),
+            Self::Secret(min, max) => write!(f, "a secret string of {min} to {max} bytes"),
+            Self::Integer(min, max) => write!(f, "an integer from {min} to {max}"),
             Self::Address => f.write_str("an address as ip:port with a port from 1 to 65535"),
-            Self::TimeSpan => f.write_str("a time such as \"2500ms\" or \"6s\", at most a day"),
+            Self::TimeSpan => f.write_str("a duration such as \"2500ms\" or \"6s\", at most a day"),
             Self::Decimal => f.write_str("a number of 0 or more"),
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings of the programs, in TOML.
+//! Settings of the router and of the operators' command, read from TOML files and `--set` flags.
 
 pub mod error;
 pub mod field;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -11,76 +11,76 @@
     std::{collections::BTreeMap, net::SocketAddr, path::Path},
 };
 
-const TOKEN: Field = Field {
+const TOKEN_FIELD: Field = Field {
     path: "token",
     data_type: DataType::Secret(0, 256),
     unit: "",
     default: Some(""),
-    description: "Secret of the operators' ports.",
+    description: "Bearer token for the operators' ports of the instances.",
 };
-const STORE: Field = Field {
+const STORE_FIELD: Field = Field {
     path: "store",
     data_type: DataType::Address,
     unit: "",
     default: Some(""),
-    description: "Address of the platform's store; `show` needs it.",
+    description: "Address of the platform's store; required by `show`.",
 };
-const TIMEOUT: Field = Field {
+const TIMEOUT_FIELD: Field = Field {
     path: "timeout_ms",
     data_type: DataType::Integer(10, 600_000),
     unit: "ms",
     default: Some("2000"),
-    description: "Longest time for a call of the store or of an instance.",
+    description: "Time limit for a request to the store or to an instance.",
 };
-const INSTANCE: Field = Field {
+const INSTANCE_FIELD: Field = Field {
     path: "instances.*",
     data_type: DataType::Address,
     unit: "",
     default: None,
-    description: "Address of the operators' port of the instance of that name.",
+    description: "Address of the operators' port of the instance with this name.",
 };
 
-/// Every field of the settings, in the order of the docs.
-pub const FIELDS: &[Field] = &[STORE, TOKEN, TIMEOUT, INSTANCE];
+/// All fields, in the order of the docs.
+pub const FIELDS: &[Field] = &[STORE_FIELD, TOKEN_FIELD, TIMEOUT_FIELD, INSTANCE_FIELD];
 
 /// Settings of the operators' command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// Address of the platform's store.
+    /// Address of the platform's store; only `show` needs it.
     pub store: Option<SocketAddr>,
-    /// Secret of the operators' ports.
+    /// Bearer token for the operators' ports.
     pub token: Name,
-    /// Longest time for a call, in milliseconds.
+    /// Time limit for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Addresses of the operators' ports by the name of the instance.
+    /// Addresses of the operators' ports by instance name.
     pub instances: BTreeMap<Name, SocketAddr>,
 }
 
-/// Reads the settings from a file, if there is one, with the values of flags put over them.
+/// Reads the settings from a file, or the defaults without one, and applies the overrides.
 ///
 /// # Errors
-/// Names the file, the line, the path of the field and what was expected.
+/// Fails if the file cannot be read or a value is not valid.
 pub fn load(path: Option<&Path>, overrides: &Overrides) -> Result<OperatorSettings> {
     let Some(path) = path else {
         return parse("", "settings", overrides);
     };
-    let (file, text) = reader::file(path)?;
+    let (file, text) = reader::read_file(path)?;
     parse(&text, &file, overrides)
 }
 
-/// Reads the settings from a text; `file` is its name in errors.
+/// Reads the settings from TOML and applies the overrides; `file` is the name used in errors.
 ///
 /// # Errors
-/// Names the file, the line, the path of the field and what was expected.
+/// Fails if the file cannot be read or a value is not valid.
 pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<OperatorSettings> {
-    reader::parse(text, file, FIELDS, overrides, read)
+    reader::parse(text, file, FIELDS, overrides, read_settings)
 }
 
-fn read(root: &Section<'_>) -> Result<OperatorSettings> {
+fn read_settings(root: &Section<'_>) -> Result<OperatorSettings> {
     Ok(OperatorSettings {
-        store: root.optional_address(&STORE)?,
-        token: root.text(&TOKEN)?,
-        timeout_ms: root.number(&TIMEOUT)?,
-        instances: root.addresses("instances", &INSTANCE)?,
+        store: root.read_optional_address(&STORE_FIELD)?,
+        token: root.read_text(&TOKEN_FIELD)?,
+        timeout_ms: root.read_integer(&TIMEOUT_FIELD)?,
+        instances: root.read_addresses("instances", &INSTANCE_FIELD)?,
     })
 }
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -1,9 +1,9 @@
-//! Values of flags that replace values of a settings file.
+//! Values from `--set` flags, which replace those of a settings file.
 
 use {
     crate::{
         error::{Error, Location, Result},
-        reader::FLAG,
+        reader::FLAG_SPAN,
     },
     std::collections::BTreeMap,
     toml::{
@@ -12,15 +12,15 @@
     },
 };
 
-/// Values by the path of their field.
+/// Values as text, by the path of their field.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides(pub BTreeMap<String, String>);
 
 impl Overrides {
-    /// Parses flags of the form `path=value`; a later one replaces an earlier one.
+    /// Parses flags of the form `path=value`; the last value for a path wins.
     ///
     /// # Errors
-    /// Names the flag without `=`.
+    /// Fails if a flag has no `=`.
     pub fn parse<'a>(flags: impl IntoIterator<Item = &'a str>) -> Result<Self> {
         let mut values = BTreeMap::new();
         for flag in flags {
@@ -35,30 +35,35 @@
         Ok(Self(values))
     }
 
-    /// Puts the values into a parsed file.
+    /// Sets the values in a parsed file; missing parent tables are created.
     pub(crate) fn apply<'a>(&'a self, table: &mut DeTable<'a>) -> Result<()> {
         for (path, text) in &self.0 {
-            put(table, path, path, text)?;
+            set_value(table, path, path, text)?;
         }
         Ok(())
     }
 }
 
-fn put<'a>(table: &mut DeTable<'a>, path: &str, rest: &'a str, text: &'a str) -> Result<()> {
-    let (key, deeper) = match rest.split_once('.') {
-        Some((key, deeper)) => (key, Some(deeper)),
-        None => (rest, None),
+fn set_value<'a>(
+    table: &mut DeTable<'a>,
+    path: &str,
+    remaining: &'a str,
+    text: &'a str,
+) -> Result<()> {
+    let (key, subpath) = match remaining.split_once('.') {
+        Some((key, subpath)) => (key, Some(subpath)),
+        None => (remaining, None),
     };
-    let name = Spanned::new(FLAG, key.into());
-    let Some(deeper) = deeper else {
+    let name = Spanned::new(FLAG_SPAN, key.into());
+    let Some(subpath) = subpath else {
         table.remove(&name);
-        table.insert(name, Spanned::new(FLAG, value(text)));
+        table.insert(name, Spanned::new(FLAG_SPAN, parse_value(text)));
         return Ok(());
     };
-    let empty = || Spanned::new(FLAG, DeValue::Table(DeTable::new()));
-    let below = table.entry(name).or_insert_with(empty);
-    match below.get_mut() {
-        DeValue::Table(table) => put(table, path, deeper, text),
+    let empty = || Spanned::new(FLAG_SPAN, DeValue::Table(DeTable::new()));
+    let child = table.entry(name).or_insert_with(empty);
+    match child.get_mut() {
+        DeValue::Table(table) => set_value(table, path, subpath, text),
         _ => Err(Error::UnknownField {
             location: Location::Flag,
             path: path.to_owned(),
@@ -67,8 +72,8 @@
     }
 }
 
-/// Reads a value as TOML, or as plain text where it is not TOML.
-fn value(text: &str) -> DeValue<'_> {
+/// Parses a value as TOML; a value that is not valid TOML is taken as a string.
+fn parse_value(text: &str) -> DeValue<'_> {
     DeValue::parse(text).map_or_else(
         |_| DeValue::String(text.into()),
         |parsed| parsed.into_inner(),
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance's process.
+//! Settings of an instance of the router.
 
 pub mod bounds;
 pub mod listen;
@@ -16,113 +16,119 @@
     std::{net::SocketAddr, path::Path},
 };
 
-const NAME: Field = Field {
+const NAME_FIELD: Field = Field {
     path: "name",
     data_type: DataType::Text(1, 200),
     unit: "",
     default: None,
     description: "Name of the instance, unique in a deployment.",
 };
-const DATA_CENTRE: Field = Field {
+const DATA_CENTRE_FIELD: Field = Field {
     path: "data_centre",
     data_type: DataType::Text(1, 200),
     unit: "",
     default: None,
-    description: "Data centre of the instance.",
+    description: "Data centre in which the instance runs.",
 };
-const STORE: Field = Field {
+const STORE_FIELD: Field = Field {
     path: "store",
     data_type: DataType::Address,
     unit: "",
     default: None,
     description: "Address of the platform's store.",
 };
-const TOKEN: Field = Field {
+const TOKEN_FIELD: Field = Field {
     path: "token",
     data_type: DataType::Secret(0, 256),
     unit: "",
     default: Some(""),
-    description: "Secret for `/status` and `/events`; without one these are closed.",
+    description: "Bearer token for `/status` and `/events`; if empty, all requests to them are denied.",
 };
 
-const CPU: Field = Field {
+const CPU_FIELD: Field = Field {
     path: "cpu",
     data_type: DataType::Decimal,
     unit: "cores",
     default: Some("1"),
-    description: "Part of a core that the instance has; those with more do more for the others.",
+    description: "CPU cores available to the instance; those with more take on more of the shared work.",
 };
 
-/// Settings of a process.
+/// Settings of an instance of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
     /// Name of the instance, unique in a deployment.
     pub name: Name,
-    /// Data centre of the instance.
+    /// Data centre in which the instance runs.
     pub data_centre: Name,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Part of a core that the instance has.
+    /// Number of CPU cores available to the instance, such as 0.5.
     pub cpu: f64,
-    /// Secret for operators' pages; an empty one closes them.
+    /// Bearer token for `/status` and `/events`; if empty, all requests to them are denied.
     pub token: Name,
-    /// Addresses that the process listens on.
+    /// Addresses on which the instance listens.
     pub listen: Listen,
-    /// Times and shares within which the deployment has to react.
+    /// Time limits and retry budget of the deployment.
     pub bounds: Bounds,
 }
 
-/// Every field of the settings, in the order of the docs.
-pub const FIELDS: &[Field] = &joined();
+/// All fields, in the order of the docs.
+pub const FIELDS: &[Field] = &concat_fields();
 
-/// Reads the settings from a file, with the values of flags put over them.
+/// Reads the settings from a file and applies the overrides.
 ///
 /// # Errors
-/// Names the file, the line, the path of the field and what was expected.
+/// Fails if the file cannot be read or a value is not valid.
 pub fn load(path: &Path, overrides: &Overrides) -> Result<ProcessSettings> {
-    let (file, text) = reader::file(path)?;
+    let (file, text) = reader::read_file(path)?;
     parse(&text, &file, overrides)
 }
 
-/// Reads the settings from a text; `file` is its name in errors.
+/// Reads the settings from TOML and applies the overrides; `file` is the name used in errors.
 ///
 /// # Errors
-/// Names the file, the line, the path of the field and what was expected.
+/// Fails if the file cannot be read or a value is not valid.
 pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<ProcessSettings> {
-    reader::parse(text, file, FIELDS, overrides, read)
+    reader::parse(text, file, FIELDS, overrides, read_settings)
 }
 
-fn read(root: &Section<'_>) -> Result<ProcessSettings> {
+fn read_settings(root: &Section<'_>) -> Result<ProcessSettings> {
     Ok(ProcessSettings {
-        name: root.text(&NAME)?,
-        data_centre: root.text(&DATA_CENTRE)?,
-        store: root.address(&STORE)?,
-        cpu: root.share(&CPU)?,
-        token: root.text(&TOKEN)?,
-        listen: Listen::read(root)?,
-        bounds: Bounds::read(root)?,
+        name: root.read_text(&NAME_FIELD)?,
+        data_centre: root.read_text(&DATA_CENTRE_FIELD)?,
+        store: root.read_address(&STORE_FIELD)?,
+        cpu: root.read_decimal(&CPU_FIELD)?,
+        token: root.read_text(&TOKEN_FIELD)?,
+        listen: Listen::from_root(root)?,
+        bounds: Bounds::from_root(root)?,
     })
 }
 
-const PARTS: [&[Field]; 3] = [
-    &[NAME, DATA_CENTRE, STORE, CPU, TOKEN],
+const FIELD_GROUPS: [&[Field]; 3] = [
+    &[
+        NAME_FIELD,
+        DATA_CENTRE_FIELD,
+        STORE_FIELD,
+        CPU_FIELD,
+        TOKEN_FIELD,
+    ],
     Listen::FIELDS,
     Bounds::FIELDS,
 ];
 
-const COUNT: usize = PARTS[0].len() + PARTS[1].len() + PARTS[2].len();
+const FIELD_COUNT: usize = FIELD_GROUPS[0].len() + FIELD_GROUPS[1].len() + FIELD_GROUPS[2].len();
 
-const fn joined() -> [Field; COUNT] {
-    let mut fields = [NAME; COUNT];
-    let (mut at, mut part) = (0, 0);
-    while part < PARTS.len() {
+const fn concat_fields() -> [Field; FIELD_COUNT] {
+    let mut fields = [NAME_FIELD; FIELD_COUNT];
+    let (mut filled, mut group) = (0, 0);
+    while group < FIELD_GROUPS.len() {
         let mut index = 0;
-        while index < PARTS[part].len() {
-            fields[at] = PARTS[part][index];
-            at += 1;
+        while index < FIELD_GROUPS[group].len() {
+            fields[filled] = FIELD_GROUPS[group][index];
+            filled += 1;
             index += 1;
         }
-        part += 1;
+        group += 1;
     }
     fields
 }
--- a/crates/settings/src/process/bounds.rs
+++ b/crates/settings/src/process/bounds.rs
@@ -1,4 +1,4 @@
-//! Section `bounds`: times and shares within which the deployment has to react.
+//! Section `bounds`: time limits and retry budget of the deployment.
 
 use {
     crate::{
@@ -9,76 +9,80 @@
     std::time::Duration,
 };
 
-const GRACE: Field = time(
+const GRACE_FIELD: Field = time_span_field(
     "bounds.grace",
     "6s",
-    "Time after the stop signal at which the process is killed.",
+    "Time from the stop signal until the platform kills the process.",
 );
-const WITHDRAWAL: Field = time(
+const WITHDRAWAL_FIELD: Field = time_span_field(
     "bounds.withdrawal",
     "5s",
-    "Time after which a withdrawn data centre gets nothing more.",
+    "Time within which a withdrawn data centre must stop getting requests.",
 );
-const MAX_HOLD: Field = time("bounds.max_hold", "10s", "Longest hold of a grant.");
-const RETRY_RATIO: Field = share(
+const MAX_TTL_FIELD: Field = time_span_field("bounds.max_hold", "10s", "Maximum TTL of a grant.");
+const RETRY_RATIO_FIELD: Field = decimal_field(
     "bounds.retry_ratio",
     "0.2",
-    "Repeated sends for each request.",
+    "Allowed ratio of retries to requests.",
 );
-const RETRY_SLACK: Field = share(
+const RETRY_SLACK_FIELD: Field = decimal_field(
     "bounds.retry_slack",
     "30",
-    "Repeated sends of all instances beyond that share.",
+    "Retries allowed in addition to that ratio, for all instances together.",
 );
-const RETRY_WINDOW: Field = time(
+const RETRY_WINDOW_FIELD: Field = time_span_field(
     "bounds.retry_window",
     "10s",
-    "Window in which repeated sends are counted.",
+    "Sliding window over which retries are counted.",
 );
 
-/// Times and shares within which the deployment has to react.
+/// Time limits and retry budget of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time after the stop signal at which the process is killed.
+    /// Time from the stop signal until the platform kills the process.
     pub grace: Duration,
-    /// Time after which a withdrawn data centre gets nothing more.
+    /// Time within which a withdrawn data centre must stop getting requests.
     pub withdrawal: Duration,
-    /// Longest hold of a grant.
+    /// Maximum TTL of a grant; setting `bounds.max_hold`.
     pub max_ttl: Duration,
-    /// Repeated sends for each request.
+    /// Allowed ratio of retries to requests.
     pub retry_ratio: f64,
-    /// Repeated sends of all instances beyond that share.
+    /// Retries allowed in addition to that ratio, for all instances together.
     pub retry_slack: f64,
-    /// Window in which repeated sends are counted.
+    /// Sliding window over which retries are counted.
     pub retry_window: Duration,
 }
 
 impl Bounds {
-    /// Every field of the section.
+    /// All fields of the section, in the order of the docs.
     pub const FIELDS: &'static [Field] = &[
-        GRACE,
-        WITHDRAWAL,
-        MAX_HOLD,
-        RETRY_RATIO,
-        RETRY_SLACK,
-        RETRY_WINDOW,
+        GRACE_FIELD,
+        WITHDRAWAL_FIELD,
+        MAX_TTL_FIELD,
+        RETRY_RATIO_FIELD,
+        RETRY_SLACK_FIELD,
+        RETRY_WINDOW_FIELD,
     ];
 
-    /// Reads the section; absent and empty fields have their defaults.
-    pub(crate) fn read(root: &Section<'_>) -> Result<Self> {
-        let section = root.section_or_empty("bounds")?;
+    /// Reads the section; missing and empty fields get their defaults.
+    pub(crate) fn from_root(root: &Section<'_>) -> Result<Self> {
+        let section = root.read_section_or_empty("bounds")?;
         Ok(Self {
-            grace: section.time(&GRACE)?,
-            withdrawal: section.time(&WITHDRAWAL)?,
-            max_ttl: section.time(&MAX_HOLD)?,
-            retry_ratio: section.share(&RETRY_RATIO)?,
-            retry_slack: section.share(&RETRY_SLACK)?,
-            retry_window: section.time(&RETRY_WINDOW)?,
+            grace: section.read_time_span(&GRACE_FIELD)?,
+            withdrawal: section.read_time_span(&WITHDRAWAL_FIELD)?,
+            max_ttl: section.read_time_span(&MAX_TTL_FIELD)?,
+            retry_ratio: section.read_decimal(&RETRY_RATIO_FIELD)?,
+            retry_slack: section.read_decimal(&RETRY_SLACK_FIELD)?,
+            retry_window: section.read_time_span(&RETRY_WINDOW_FIELD)?,
         })
     }
 }
 
-const fn time(path: &'static str, default: &'static str, description: &'static str) -> Field {
+const fn time_span_field(
+    path: &'static str,
+    default: &'static str,
+    description: &'static str,
+) -> Field {
     Field {
         path,
         data_type: DataType::TimeSpan,
@@ -88,7 +92,11 @@
     }
 }
 
-const fn share(path: &'static str, default: &'static str, description: &'static str) -> Field {
+const fn decimal_field(
+    path: &'static str,
+    default: &'static str,
+    description: &'static str,
+) -> Field {
     Field {
         path,
         data_type: DataType::Decimal,
--- a/crates/settings/src/process/listen.rs
+++ b/crates/settings/src/process/listen.rs
@@ -1,4 +1,4 @@
-//! Section `listen`: the addresses that a process listens on.
+//! Section `listen`: addresses on which an instance listens.
 
 use {
     crate::{
@@ -9,49 +9,55 @@
     std::net::SocketAddr,
 };
 
-const CALLERS: Field = field("listen.callers", "Address for callers.");
-const READINESS: Field = field(
+const CALLERS_FIELD: Field = address_field("listen.callers", "Address for requests of callers.");
+const READINESS_FIELD: Field = address_field(
     "listen.readiness",
-    "Address for the platform's question whether the instance is ready.",
+    "Address for readiness probes of the platform.",
 );
-const OPERATORS: Field = field("listen.operators", "Address for operators.");
-const HEARTBEATS: Field = field(
+const OPERATORS_FIELD: Field =
+    address_field("listen.operators", "Address for requests of operators.");
+const HEARTBEATS_FIELD: Field = address_field(
     "listen.heartbeats",
-    "Address for datagrams of other instances.",
+    "UDP address for datagrams of other instances.",
 );
 
-/// Addresses that a process listens on.
+/// Addresses on which an instance listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// Address for callers.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// Address for the platform's question whether the instance is ready.
+    /// Address for readiness probes of the platform.
     pub readiness: SocketAddr,
-    /// Address for operators.
+    /// Address for requests of operators.
     pub operators: SocketAddr,
-    /// Address for datagrams of other instances.
+    /// UDP address for datagrams of other instances.
     pub heartbeats: SocketAddr,
 }
 
 impl Listen {
-    /// Every field of the section.
-    pub const FIELDS: &'static [Field] = &[CALLERS, READINESS, OPERATORS, HEARTBEATS];
+    /// All fields of the section, in the order of the docs.
+    pub const FIELDS: &'static [Field] = &[
+        CALLERS_FIELD,
+        READINESS_FIELD,
+        OPERATORS_FIELD,
+        HEARTBEATS_FIELD,
+    ];
 
-    /// Reads the section.
-    pub(crate) fn read(root: &Section<'_>) -> Result<Self> {
+    /// Reads the section, which is required.
+    pub(crate) fn from_root(root: &Section<'_>) -> Result<Self> {
         let section = root
-            .section("listen")?
-            .ok_or_else(|| root.missing("listen", "a table of addresses"))?;
+            .read_section("listen")?
+            .ok_or_else(|| root.missing_key("listen", "a table of addresses"))?;
         Ok(Self {
-            callers: section.address(&CALLERS)?,
-            readiness: section.address(&READINESS)?,
-            operators: section.address(&OPERATORS)?,
-            heartbeats: section.address(&HEARTBEATS)?,
+            callers: section.read_address(&CALLERS_FIELD)?,
+            readiness: section.read_address(&READINESS_FIELD)?,
+            operators: section.read_address(&OPERATORS_FIELD)?,
+            heartbeats: section.read_address(&HEARTBEATS_FIELD)?,
         })
     }
 }
 
-const fn field(path: &'static str, description: &'static str) -> Field {
+const fn address_field(path: &'static str, description: &'static str) -> Field {
     Field {
         path,
         data_type: DataType::Address,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads checked values out of TOML and says where a bad one stands.
+//! Reads typed values from TOML and reports the location of invalid ones.
 
 use {
     crate::{
@@ -23,11 +23,11 @@
     },
 };
 
-/// Span of values that came from flags.
-pub(crate) const FLAG: Range<usize> = usize::MAX..usize::MAX;
+/// Span that marks values from `--set` flags, which have no line in the file.
+pub(crate) const FLAG_SPAN: Range<usize> = usize::MAX..usize::MAX;
 
-/// Reads a file; returns its name in errors and its text.
-pub(crate) fn file(path: &Path) -> Result<(String, String)> {
+/// Reads a file; returns its path for use in errors, and its text.
+pub(crate) fn read_file(path: &Path) -> Result<(String, String)> {
     let file = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => Ok((file, text)),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads a text with the values of flags put over it.
+/// Parses TOML, applies the overrides and reads the result with `read`.
 pub(crate) fn parse<T>(
     text: &str,
     file: &str,
@@ -53,20 +53,20 @@
     };
     let mut table = source.parse()?;
     overrides.apply(table.get_mut())?;
-    read(&source.root(&table)?)
+    read(&source.read_root(&table)?)
 }
 
-/// The text that values come from, with the fields that may be in it.
+/// Text of a settings file, with the fields allowed in it.
 struct Source<'a> {
-    /// Name of the file in errors.
+    /// Path of the file, for errors.
     file: Name,
-    /// Whole text.
+    /// Text of the file.
     text: &'a str,
-    /// Every field that may be there.
+    /// All fields that the file may contain.
     fields: &'static [Field],
 }
 
-/// One table of the text.
+/// A table of the file; one that is missing counts as empty.
 pub(crate) struct Section<'a> {
     source: &'a Source<'a>,
     table: Option<&'a DeTable<'a>>,
@@ -74,36 +74,36 @@
     path: String,
 }
 
-/// A value with its path and its place.
-pub(crate) struct Found<'a> {
+/// A value of the file with its path.
+pub(crate) struct FieldValue<'a> {
     source: &'a Source<'a>,
     value: &'a Spanned<DeValue<'a>>,
     path: String,
 }
 
 impl<'a> Source<'a> {
-    /// Parses the text; errors name the line.
+    /// Parses the text as TOML.
     pub fn parse(&self) -> Result<Spanned<DeTable<'a>>> {
         DeTable::parse(self.text).map_err(|error| Error::Syntax {
-            location: self.location(&error.span().unwrap_or(0..0)),
+            location: self.find_location(&error.span().unwrap_or(0..0)),
             detail: error.message().to_owned(),
         })
     }
 
-    /// Returns the whole text as one table, after a check for unknown fields.
-    pub fn root(&'a self, table: &'a Spanned<DeTable<'a>>) -> Result<Section<'a>> {
+    /// Returns the top-level table after a check for unknown fields.
+    pub fn read_root(&'a self, table: &'a Spanned<DeTable<'a>>) -> Result<Section<'a>> {
         let root = Section {
             source: self,
             table: Some(table.get_ref()),
             span: 0..0,
             path: String::new(),
         };
-        root.known()?;
+        root.check_known_keys()?;
         Ok(root)
     }
 
-    fn location(&self, span: &Range<usize>) -> Location {
-        if *span == FLAG {
+    fn find_location(&self, span: &Range<usize>) -> Location {
+        if *span == FLAG_SPAN {
             return Location::Flag;
         }
         let end = span.start.min(self.text.len());
@@ -119,137 +119,148 @@
 }
 
 impl<'a> Section<'a> {
-    /// Returns the checked value of a field, or its default.
-    pub fn number(&self, field: &Field) -> Result<u64> {
-        match self.find(field.key()) {
-            Some(found) => found.number(field.data_type),
-            None => self.default(field)?.parse().map_err(|_| self.lack(field)),
+    /// Returns the integer of a field, or its default.
+    pub fn read_integer(&self, field: &Field) -> Result<u64> {
+        match self.find_value(field.key()) {
+            Some(found) => found.read_integer(field.data_type),
+            None => self
+                .default_text(field)?
+                .parse()
+                .map_err(|_| self.missing_field(field)),
         }
     }
 
     /// Returns the text of a field, or its default.
-    pub fn text(&self, field: &Field) -> Result<Name> {
-        match self.find(field.key()) {
-            Some(found) => found.text(field.data_type),
-            None => Ok(self.default(field)?.into()),
+    pub fn read_text(&self, field: &Field) -> Result<Name> {
+        match self.find_value(field.key()) {
+            Some(found) => found.read_text(field.data_type),
+            None => Ok(self.default_text(field)?.into()),
         }
     }
 
     /// Returns the address of a field, or its default.
-    pub fn address(&self, field: &Field) -> Result<SocketAddr> {
-        match self.find(field.key()) {
-            Some(found) => found.address(field.data_type),
-            None => self.default(field)?.parse().map_err(|_| self.lack(field)),
+    pub fn read_address(&self, field: &Field) -> Result<SocketAddr> {
+        match self.find_value(field.key()) {
+            Some(found) => found.read_address(field.data_type),
+            None => self
+                .default_text(field)?
+                .parse()
+                .map_err(|_| self.missing_field(field)),
         }
     }
 
-    /// Returns the address of a field; `None` without one.
-    pub fn optional_address(&self, field: &Field) -> Result<Option<SocketAddr>> {
-        let found = self.find(field.key());
+    /// Returns the address of a field, or `None` if it is missing.
+    pub fn read_optional_address(&self, field: &Field) -> Result<Option<SocketAddr>> {
+        let found = self.find_value(field.key());
         found
-            .map(|found| found.address(field.data_type))
+            .map(|found| found.read_address(field.data_type))
             .transpose()
     }
 
-    /// Returns the time of a field, or its default.
-    pub fn time(&self, field: &Field) -> Result<Duration> {
-        match self.filled(field) {
-            Some(found) => found.time(),
-            None => duration(self.default(field)?).map_err(|_| self.lack(field)),
+    /// Returns the duration of a field, or its default if missing or empty.
+    pub fn read_time_span(&self, field: &Field) -> Result<Duration> {
+        match self.find_nonempty(field) {
+            Some(found) => found.read_time_span(),
+            None => duration(self.default_text(field)?).map_err(|_| self.missing_field(field)),
         }
     }
 
-    /// Returns the number of a field, or its default.
-    pub fn share(&self, field: &Field) -> Result<f64> {
-        match self.filled(field) {
-            Some(found) => found.share(),
-            None => self.default(field)?.parse().map_err(|_| self.lack(field)),
+    /// Returns the number of a field, or its default if missing or empty.
+    pub fn read_decimal(&self, field: &Field) -> Result<f64> {
+        match self.find_nonempty(field) {
+            Some(found) => found.read_decimal(),
+            None => self
+                .default_text(field)?
+                .parse()
+                .map_err(|_| self.missing_field(field)),
         }
     }
 
-    /// Returns the addresses of a table by their names; an absent one counts as empty.
-    pub fn addresses(&self, key: &str, field: &Field) -> Result<BTreeMap<Name, SocketAddr>> {
-        let Some(section) = self.section(key)? else {
+    /// Returns the addresses in a table by their keys; empty if the table is missing.
+    pub fn read_addresses(&self, key: &str, field: &Field) -> Result<BTreeMap<Name, SocketAddr>> {
+        let Some(section) = self.read_section(key)? else {
             return Ok(BTreeMap::new());
         };
         section
             .entries()
-            .map(|(name, found)| Ok((name.into(), found.address(field.data_type)?)))
+            .map(|(name, found)| Ok((name.into(), found.read_address(field.data_type)?)))
             .collect()
     }
 
-    /// Returns the table under a key; `None` without one.
-    pub fn section(&self, key: &str) -> Result<Option<Self>> {
-        self.find(key).map(|found| found.section()).transpose()
+    /// Returns the table under a key, or `None` if it is missing.
+    pub fn read_section(&self, key: &str) -> Result<Option<Self>> {
+        self.find_value(key)
+            .map(|found| found.read_section())
+            .transpose()
     }
 
-    /// Returns the table under a key; an absent one counts as empty.
-    pub fn section_or_empty(&self, key: &str) -> Result<Self> {
+    /// Returns the table under a key, or an empty one if it is missing.
+    pub fn read_section_or_empty(&self, key: &str) -> Result<Self> {
         let empty = || Self {
             source: self.source,
             table: None,
             span: self.span.clone(),
-            path: join(&self.path, key),
+            path: join_path(&self.path, key),
         };
-        Ok(self.section(key)?.unwrap_or_else(empty))
+        Ok(self.read_section(key)?.unwrap_or_else(empty))
     }
 
-    /// Returns every value of this table with its key.
-    fn entries(&self) -> impl Iterator<Item = (&str, Found<'a>)> {
+    /// Iterates over the values of this table with their keys.
+    fn entries(&self) -> impl Iterator<Item = (&str, FieldValue<'a>)> {
         self.table.into_iter().flatten().map(|(key, value)| {
             let key = key.get_ref().as_ref();
-            (key, self.found(key, value))
+            (key, self.wrap_value(key, value))
         })
     }
 
-    /// Returns the value under a key.
-    pub fn find(&self, key: &str) -> Option<Found<'a>> {
+    /// Returns the value under a key, or `None` if it is missing.
+    pub fn find_value(&self, key: &str) -> Option<FieldValue<'a>> {
         let mut entries = self.table?.iter();
         let (_, value) = entries.find(|(other, _)| other.get_ref().as_ref() == key)?;
-        Some(self.found(key, value))
+        Some(self.wrap_value(key, value))
     }
 
-    /// Returns the value of a field unless it is an empty text.
-    fn filled(&self, field: &Field) -> Option<Found<'a>> {
-        let found = self.find(field.key())?;
+    /// Returns the value of a field unless it is an empty string.
+    fn find_nonempty(&self, field: &Field) -> Option<FieldValue<'a>> {
+        let found = self.find_value(field.key())?;
         (found.value.get_ref().as_str() != Some("")).then_some(found)
     }
 
-    /// Returns the error that a field of this table is absent.
-    pub fn missing(&self, key: &str, expected: impl Into<String>) -> Error {
+    /// Returns the error for a missing key of this table.
+    pub fn missing_key(&self, key: &str, expected: impl Into<String>) -> Error {
         Error::MissingField {
-            location: self.source.location(&self.span),
-            path: join(&self.path, key),
+            location: self.source.find_location(&self.span),
+            path: join_path(&self.path, key),
             expected: expected.into(),
         }
     }
 
-    fn found(&self, key: &str, value: &'a Spanned<DeValue<'a>>) -> Found<'a> {
-        Found {
+    fn wrap_value(&self, key: &str, value: &'a Spanned<DeValue<'a>>) -> FieldValue<'a> {
+        FieldValue {
             source: self.source,
             value,
-            path: join(&self.path, key),
+            path: join_path(&self.path, key),
         }
     }
 
-    fn default(&self, field: &Field) -> Result<&'static str> {
-        field.default.ok_or_else(|| self.lack(field))
+    fn default_text(&self, field: &Field) -> Result<&'static str> {
+        field.default.ok_or_else(|| self.missing_field(field))
     }
 
-    fn lack(&self, field: &Field) -> Error {
-        self.missing(field.key(), field.data_type.to_string())
+    fn missing_field(&self, field: &Field) -> Error {
+        self.missing_key(field.key(), field.data_type.to_string())
     }
 
-    fn known(&self) -> Result<()> {
-        let keys = children(self.source.fields, &self.path);
+    fn check_known_keys(&self) -> Result<()> {
+        let keys = child_keys(self.source.fields, &self.path);
         for (key, _) in self.table.into_iter().flatten() {
             if keys.contains("*") || keys.contains(key.get_ref().as_ref()) {
                 continue;
             }
             let names: Vec<_> = keys.iter().copied().collect();
             return Err(Error::UnknownField {
-                location: self.source.location(&key.span()),
-                path: join(&self.path, key.get_ref()),
+                location: self.source.find_location(&key.span()),
+                path: join_path(&self.path, key.get_ref()),
                 expected: format!("one of {}", names.join(", ")),
             });
         }
@@ -257,43 +268,44 @@
     }
 }
 
-impl<'a> Found<'a> {
-    /// Returns the number within the bounds of `kind`.
-    pub fn number(&self, kind: DataType) -> Result<u64> {
+impl<'a> FieldValue<'a> {
+    /// Returns the integer if it is within the range of `data_type`.
+    pub fn read_integer(&self, data_type: DataType) -> Result<u64> {
         let int = self
             .value
             .get_ref()
             .as_integer()
             .and_then(|digits| u64::from_str_radix(digits.as_str(), digits.radix()).ok());
-        match (int, kind) {
+        match (int, data_type) {
             (Some(int), DataType::Integer(min, max)) if (min..=max).contains(&int) => Ok(int),
-            _ => Err(self.invalid(kind.to_string())),
+            _ => Err(self.invalid_value(data_type.to_string())),
         }
     }
 
-    /// Returns the text if it is of `kind`.
-    pub fn text(&self, kind: DataType) -> Result<Name> {
+    /// Returns the string if it is valid for `data_type`.
+    pub fn read_text(&self, data_type: DataType) -> Result<Name> {
         let text = self.value.get_ref().as_str();
-        text.filter(|text| fits(kind, text))
+        text.filter(|text| is_valid_text(data_type, text))
             .map(Name::from)
-            .ok_or_else(|| self.unfit(kind))
+            .ok_or_else(|| self.invalid_text(data_type))
     }
 
-    /// Returns the address if it is of `kind`.
-    pub fn address(&self, kind: DataType) -> Result<SocketAddr> {
-        let text = self.text(kind)?;
-        text.parse().map_err(|_| self.invalid(kind.to_string()))
+    /// Returns the address if it is valid for `data_type`.
+    pub fn read_address(&self, data_type: DataType) -> Result<SocketAddr> {
+        let text = self.read_text(data_type)?;
+        text.parse()
+            .map_err(|_| self.invalid_value(data_type.to_string()))
     }
 
-    /// Returns the time.
-    fn time(&self) -> Result<Duration> {
+    /// Returns the duration.
+    fn read_time_span(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
-        let time = text.and_then(|text| duration(text).ok());
-        time.ok_or_else(|| self.invalid(DataType::TimeSpan.to_string()))
+        let time_span = text.and_then(|text| duration(text).ok());
+        time_span.ok_or_else(|| self.invalid_value(DataType::TimeSpan.to_string()))
     }
 
-    /// Returns the number, which may stand in a text.
-    fn share(&self) -> Result<f64> {
+    /// Returns the number, which may be given as a string.
+    fn read_decimal(&self) -> Result<f64> {
         let number = match self.value.get_ref() {
             DeValue::String(text) => text.parse().ok(),
             DeValue::Integer(digits) => digits.as_str().parse().ok(),
@@ -301,36 +313,36 @@
             _ => None,
         };
         let number = number.filter(|it: &f64| it.is_finite() && *it >= 0.0);
-        number.ok_or_else(|| self.invalid(DataType::Decimal.to_string()))
+        number.ok_or_else(|| self.invalid_value(DataType::Decimal.to_string()))
     }
 
-    /// Returns the error that this value is not what was expected.
-    pub fn invalid(&self, expected: impl Into<String>) -> Error {
-        self.error(expected.into(), shown(self.value.get_ref()))
+    /// Returns the error for an invalid value, with the value in it.
+    pub fn invalid_value(&self, expected: impl Into<String>) -> Error {
+        self.value_error(expected.into(), describe_value(self.value.get_ref()))
     }
 
-    /// Returns the error that this value is not of `kind`, without repeating a secret.
-    fn unfit(&self, kind: DataType) -> Error {
-        match (kind, self.value.get_ref().as_str()) {
+    /// Returns the error for an invalid string; of a secret it contains only the length.
+    fn invalid_text(&self, expected: DataType) -> Error {
+        match (expected, self.value.get_ref().as_str()) {
             (DataType::Secret(..), Some(text)) => {
-                self.error(kind.to_string(), format!("a text of {} bytes", text.len()))
+                self.value_error(expected.to_string(), format!("{} bytes", text.len()))
             }
-            _ => self.invalid(kind.to_string()),
+            _ => self.invalid_value(expected.to_string()),
         }
     }
 
-    fn error(&self, expected: String, found: String) -> Error {
+    fn value_error(&self, expected: String, found: String) -> Error {
         Error::InvalidValue {
-            location: self.source.location(&self.value.span()),
+            location: self.source.find_location(&self.value.span()),
             path: self.path.clone(),
             expected,
             found,
         }
     }
 
-    fn section(&self) -> Result<Section<'a>> {
+    fn read_section(&self) -> Result<Section<'a>> {
         let Some(table) = self.value.get_ref().as_table() else {
-            return Err(self.invalid("a table"));
+            return Err(self.invalid_value("a table"));
         };
         let section = Section {
             source: self.source,
@@ -338,45 +350,45 @@
             span: self.value.span(),
             path: self.path.clone(),
         };
-        section.known()?;
+        section.check_known_keys()?;
         Ok(section)
     }
 }
 
-fn fits(kind: DataType, text: &str) -> bool {
-    match kind {
+fn is_valid_text(data_type: DataType, text: &str) -> bool {
+    match data_type {
         DataType::Text(min, max) | DataType::Secret(min, max) => (min..=max).contains(&text.len()),
         DataType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
         DataType::Integer(..) | DataType::TimeSpan | DataType::Decimal => false,
     }
 }
 
-fn shown(value: &DeValue<'_>) -> String {
+fn describe_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{text:?}"),
         DeValue::Integer(digits) => digits.to_string(),
         DeValue::Float(digits) => digits.to_string(),
         DeValue::Boolean(flag) => flag.to_string(),
-        DeValue::Datetime(_) => "a date".to_owned(),
-        DeValue::Array(_) => "a list".to_owned(),
+        DeValue::Datetime(_) => "a date-time".to_owned(),
+        DeValue::Array(_) => "an array".to_owned(),
         DeValue::Table(_) => "a table".to_owned(),
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         return key.to_owned();
     }
     format!("{path}.{key}")
 }
 
-fn children(fields: &[Field], parent: &str) -> BTreeSet<&'static str> {
-    let below = |field: &Field| {
-        let rest = match parent {
+fn child_keys(fields: &[Field], parent: &str) -> BTreeSet<&'static str> {
+    let child_key = |field: &Field| {
+        let relative = match parent {
             "" => Some(field.path),
             _ => field.path.strip_prefix(parent)?.strip_prefix('.'),
         };
-        rest?.split('.').next()
+        relative?.split('.').next()
     };
-    fields.iter().filter_map(below).collect()
+    fields.iter().filter_map(child_key).collect()
 }
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -1,11 +1,11 @@
-//! The page of the fields lists exactly the fields of the code.
+//! `docs/CONFIGURATION.md` lists exactly the fields of the code.
 
 use cowslip_settings::{field::Field, operator, process};
 
 const PAGE: &str = include_str!("../../../docs/CONFIGURATION.md");
 
 #[track_caller]
-fn check(heading: &str, fields: &[Field]) {
+fn assert_documented(heading: &str, fields: &[Field]) {
     let (_, section) = PAGE.split_once(heading).expect(heading);
     let section = section.split("\n## ").next().expect("a section");
     let rows: Vec<_> = section.lines().filter(|it| it.starts_with("| `")).collect();
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn the_page_lists_every_setting() {
-    check("## Settings of a process", process::FIELDS);
+fn docs_list_all_instance_settings() {
+    assert_documented("## Settings of a process", process::FIELDS);
 }
 
 #[test]
-fn the_page_lists_every_setting_of_the_command() {
-    check("## Settings of the operators' command", operator::FIELDS);
+fn docs_list_all_operator_settings() {
+    assert_documented("## Settings of the operators' command", operator::FIELDS);
 }
