--- a/crates/cowslipctl/src/cli.rs
+++ b/crates/cowslipctl/src/cli.rs
@@ -1,57 +1,57 @@
-//! Flags and subcommands.
+//! Command-line flags and subcommands.
 
 use {
     clap::{Arg, ArgAction, Command, value_parser},
     std::path::PathBuf,
 };
 
-/// Exit codes, as `--help` says them.
-const EXITS: &str = "\
+/// Exit codes, shown by `--help`.
+const EXIT_CODES_HELP: &str = "\
 Exit codes:
-  0  done
-  1  configuration refused, or nothing found
-  2  wrong flags or settings
-  4  store, or every instance asked, unreachable
+  0  success
+  1  configuration not valid, or nothing found
+  2  invalid flags or settings, or unreadable file
+  4  store, or all instances, unreachable
   5  some instances unreachable";
 
-const CHECK: &str = "\
+const CHECK_EXAMPLES: &str = "\
 Examples:
   cowslipctl check board.json
   cowslipctl check board.json --json";
 
-const SHOW: &str = "\
+const SHOW_EXAMPLES: &str = "\
 Examples:
   cowslipctl show --set store=10.1.0.2:8000
   cowslipctl show --json";
 
-const STATUS: &str = "\
+const STATUS_EXAMPLES: &str = "\
 Examples:
   cowslipctl status
   cowslipctl status --json --set instances.entry-1=10.1.1.5:7002";
 
-const TIMELINE: &str = "\
+const TIMELINE_EXAMPLES: &str = "\
 Examples:
   cowslipctl timeline --target board-07
   cowslipctl timeline --request 7c5ee32bd7d4ed08 --json
   cowslipctl timeline --data-centre hk-2 --format svg --out withdrawal.svg";
 
-const EXPLAIN: &str = "\
+const EXPLAIN_EXAMPLES: &str = "\
 Examples:
   cowslipctl explain 7c5ee32bd7d4ed08 front-1.log front-2.log
   cowslipctl explain 7c5ee32bd7d4ed08 all.log --json";
 
-/// Returns the whole command line.
+/// Builds the parser for the command line.
 pub fn build_command() -> Command {
     Command::new("cowslipctl")
-        .about("Checks and shows configurations of cowslipcross, and looks at instances")
+        .about("Checks and shows configurations of cowslipcross, queries instances and explains requests")
         .version(env!("CARGO_PKG_VERSION"))
-        .after_help(EXITS)
+        .after_help(EXIT_CODES_HELP)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(
-            file(
+            file_arg(
                 "settings",
-                "Settings file; else the one that COWSLIPCTL_SETTINGS names",
+                "Settings file; default: COWSLIPCTL_SETTINGS",
             )
             .long("settings")
             .global(true),
@@ -62,7 +62,7 @@
                 .value_name("PATH=VALUE")
                 .action(ArgAction::Append)
                 .global(true)
-                .help("Value that goes over the settings file"),
+                .help("Override a value of the settings file"),
         )
         .arg(
             Arg::new("json")
@@ -71,69 +71,72 @@
                 .global(true)
                 .help("Print JSON"),
         )
-        .subcommand(subcommand("check", "Check a configuration", CHECK).arg(document()))
-        .subcommand(subcommand(
+        .subcommand(build_subcommand("check", "Validate a configuration file", CHECK_EXAMPLES).arg(configuration_file()))
+        .subcommand(build_subcommand(
             "show",
             "Print the configuration in the store",
-            SHOW,
+            SHOW_EXAMPLES,
         ))
-        .subcommand(subcommand(
+        .subcommand(build_subcommand(
             "status",
             "Show the state of all instances",
-            STATUS,
+            STATUS_EXAMPLES,
         ))
-        .subcommand(timeline())
-        .subcommand(explain())
+        .subcommand(timeline_command())
+        .subcommand(explain_command())
 }
 
-fn explain() -> Command {
+fn explain_command() -> Command {
     let request = Arg::new("request").value_name("REQUEST-ID").required(true);
-    let logs = file("log", "Logs of instances")
+    let logs = file_arg("log", "Log files of the instances")
         .num_args(1..)
         .required(true);
-    let about = "Print what logs say of a request, and of what its keys went through";
-    subcommand("explain", about, EXPLAIN)
-        .arg(request.help("Id of the request"))
+    let about = "Print the log lines about a request and the events that may explain it";
+    build_subcommand("explain", about, EXPLAIN_EXAMPLES)
+        .arg(request.help("ID of the request"))
         .arg(logs)
 }
 
-fn timeline() -> Command {
+fn timeline_command() -> Command {
     let filter = |name: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_name("NAME").help(help)
     };
     let formats = ["text", "json", "svg"];
-    subcommand(
+    build_subcommand(
         "timeline",
         "Merge the events of all instances in causal order",
-        TIMELINE,
+        TIMELINE_EXAMPLES,
     )
-    .arg(filter("key", "Only events about this key or range"))
+    .arg(filter("key", "Only events about this key or key range"))
     .arg(filter("target", "Only events about this target"))
-    .arg(filter("instance", "Only events of or about this instance"))
+    .arg(filter(
+        "instance",
+        "Only events recorded by or about this instance",
+    ))
     .arg(filter("request", "Only events about this request"))
     .arg(filter(
         "data-centre",
-        "Only events of instances in this data centre",
+        "Only events recorded in this data centre",
     ))
     .arg(
         Arg::new("format")
             .long("format")
             .value_parser(formats)
             .conflicts_with("json")
-            .help("Form of the output; text unless --json is given"),
+            .help("Output format; default: text"),
     )
-    .arg(file("out", "Write to this file instead of the standard output").long("out"))
+    .arg(file_arg("out", "Write to this file instead of standard output").long("out"))
 }
 
-fn subcommand(name: &'static str, about: &'static str, examples: &'static str) -> Command {
+fn build_subcommand(name: &'static str, about: &'static str, examples: &'static str) -> Command {
     Command::new(name).about(about).after_help(examples)
 }
 
-fn document() -> Arg {
-    file("file", "Configuration, in the platform's form").required(true)
+fn configuration_file() -> Arg {
+    file_arg("file", "Configuration file in the format of the platform").required(true)
 }
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
--- a/crates/cowslipctl/src/commands.rs
+++ b/crates/cowslipctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! Dispatches subcommands and prints their output.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
     },
 };
 
-/// Runs the command line, prints what it has to say and returns the exit code.
+/// Runs a command line, prints its output and returns the exit status.
 ///
 /// # Errors
 /// Fails if the output cannot be written.
@@ -34,17 +34,17 @@
     };
     let json = matches.get_flag("json");
     match run_subcommand(&matches).await {
-        Ok(reply) => {
-            print(&mut io::stdout().lock(), &reply, json)?;
-            Ok(reply.exit_status)
+        Ok(output) => {
+            print_output(&mut io::stdout().lock(), &output, json)?;
+            Ok(output.exit_status)
         }
         Err(error) => {
-            let reply = CommandOutput::from(&error);
+            let output = CommandOutput::from(&error);
             match json {
-                true => print(&mut io::stdout().lock(), &reply, true)?,
-                false => writeln!(io::stderr(), "cowslipctl: {}", reply.text)?,
+                true => print_output(&mut io::stdout().lock(), &output, true)?,
+                false => writeln!(io::stderr(), "cowslipctl: {}", output.text)?,
             }
-            Ok(reply.exit_status)
+            Ok(output.exit_status)
         }
     }
 }
@@ -54,7 +54,7 @@
         return Err(Error::MissingInput("expected a subcommand".to_owned()));
     };
     if name == "check" {
-        return configuration::check_file(required(matches, "file"));
+        return configuration::check_file(required_path(matches, "file"));
     }
     if name == "explain" {
         return explain::explain_request(matches);
@@ -67,15 +67,15 @@
     }
 }
 
-fn print(out: &mut impl Write, reply: &CommandOutput, json: bool) -> io::Result<()> {
+fn print_output(out: &mut impl Write, output: &CommandOutput, json: bool) -> io::Result<()> {
     match json {
-        true => writeln!(out, "{}", reply.json),
-        false => out.write_all(reply.text.as_bytes()),
+        true => writeln!(out, "{}", output.json),
+        false => out.write_all(output.text.as_bytes()),
     }
 }
 
-/// Returns a file that the command line requires.
-fn required<'a>(matches: &'a ArgMatches, name: &str) -> &'a Path {
+/// Returns the path of a required argument.
+fn required_path<'a>(matches: &'a ArgMatches, name: &str) -> &'a Path {
     matches
         .get_one::<PathBuf>(name)
         .map_or(Path::new(""), PathBuf::as_path)
--- a/crates/cowslipctl/src/configuration.rs
+++ b/crates/cowslipctl/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration of the users' platform: read from a file and checked, or shown as it is in force.
+//! Subcommands `check` and `show`: validates a configuration file, and prints the stored one.
 
 use {
     crate::{
@@ -14,44 +14,46 @@
     std::{fs, path::Path, time::Duration},
 };
 
-/// Checks the configuration in a file; parts that instances would leave out are refused.
+/// Validates a configuration file; fails also for parts that instances would skip.
 pub(crate) fn check_file(path: &Path) -> Result<CommandOutput> {
     let name = path.display().to_string();
     let text = fs::read(path).map_err(|cause| Error::File {
         file: name.clone(),
         cause,
     })?;
-    let config = decoded(&text, &name)?;
+    let config = decode_configuration(&text, &name)?;
     let causes: Vec<String> = config.skipped.iter().map(ToString::to_string).collect();
     if !causes.is_empty() {
         let causes = causes.join("\n  ");
         return Err(Error::Failure(format!("{name}: left out:\n  {causes}")));
     }
-    let counts = counts(&config);
+    let counts = format_counts(&config);
     Ok(CommandOutput::success(
         format!("{name}: valid, {counts}\n"),
-        summary(&config),
+        summarize(&config),
     ))
 }
 
-/// Shows the configuration in the store and the withdrawn data centres.
+/// Shows the configuration and the withdrawn data centres that are in the store.
 pub(crate) async fn show_stored(settings: &OperatorSettings) -> Result<CommandOutput> {
-    let lacking =
+    let missing_store =
         || Error::MissingInput("settings: store: missing, expected an address".to_owned());
-    let address = settings.store.ok_or_else(lacking)?;
-    let limit = Duration::from_millis(settings.timeout_ms);
-    let rows = Store::new(address).rows(OPERATOR_TABLE, limit).await;
+    let address = settings.store.ok_or_else(missing_store)?;
+    let time_limit = Duration::from_millis(settings.timeout_ms);
+    let rows = Store::new(address).rows(OPERATOR_TABLE, time_limit).await;
     let rows = rows.map_err(|error| Error::Unreachable(error.to_string()))?;
-    let body = rows.rows.iter().find_map(configuration);
-    let body =
-        body.ok_or_else(|| Error::Failure("no configuration is in the store yet".to_owned()))?;
-    let config = decoded(body, "store")?;
-    let withdrawn: Vec<String> = rows.rows.iter().filter_map(withdrawn).collect();
+    let body = rows.rows.iter().find_map(configuration_body);
+    let body = body.ok_or_else(|| Error::Failure("no configuration in the store".to_owned()))?;
+    let config = decode_configuration(body, "store")?;
+    let withdrawn: Vec<String> = rows.rows.iter().filter_map(withdrawn_data_centre).collect();
     let names = match withdrawn.is_empty() {
         true => "none".to_owned(),
         false => withdrawn.join(", "),
     };
-    let mut text = format!("{}\nwithdrawn data centres: {names}\n", counts(&config));
+    let mut text = format!(
+        "{}\nwithdrawn data centres: {names}\n",
+        format_counts(&config)
+    );
     for route in &config.routes {
         let split = route.split.iter();
         let split: Vec<String> = split
@@ -70,36 +72,36 @@
     for error in &config.skipped {
         text += &format!("left out: {error}\n");
     }
-    let mut json = summary(&config);
+    let mut json = summarize(&config);
     json["withdrawn"] = json!(withdrawn);
     Ok(CommandOutput::success(text, json))
 }
 
-fn decoded(body: &[u8], name: &str) -> Result<Config> {
+fn decode_configuration(body: &[u8], name: &str) -> Result<Config> {
     Config::try_from(body).map_err(|error| Error::Failure(format!("{name}: {error}")))
 }
 
-fn configuration(row: &Row) -> Option<&[u8]> {
+fn configuration_body(row: &Row) -> Option<&[u8]> {
     match OperatorRow::of(&row.key) {
         OperatorRow::Config => row.value.as_deref(),
         _ => None,
     }
 }
 
-fn withdrawn(row: &Row) -> Option<String> {
+fn withdrawn_data_centre(row: &Row) -> Option<String> {
     match OperatorRow::of(&row.key) {
         OperatorRow::Withdrawn(data_centre) => row.value.as_ref().map(|_| data_centre),
         _ => None,
     }
 }
 
-fn counts(config: &Config) -> String {
+fn format_counts(config: &Config) -> String {
     let (version, routes) = (config.version, config.routes.len());
     let services = config.services.len();
     format!("version {version}, {routes} routes, {services} services")
 }
 
-fn summary(config: &Config) -> Value {
+fn summarize(config: &Config) -> Value {
     let skipped = config.skipped.iter().map(ToString::to_string);
     json!({
         "version": config.version,
--- a/crates/cowslipctl/src/error.rs
+++ b/crates/cowslipctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand failed, and the exit code that scripts see.
+//! Errors of subcommands and their exit codes.
 
 use {
     cowslip_settings::error::Error as SettingsError,
@@ -8,43 +8,43 @@
 /// Result of a subcommand.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Exit code of the command.
+/// Outcome of a command, as its exit code reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success,
-    /// The configuration was refused, or nothing was found.
+    /// The configuration is not valid, nothing was found, or the diagram cannot be drawn.
     Failure,
-    /// Wrong flags or settings.
+    /// The flags or settings are not valid, or a file cannot be read or written.
     Usage,
-    /// The store, or every instance asked, could not be reached.
+    /// The store, or every instance, did not give a valid answer.
     Unreachable,
-    /// Some instances could not be reached.
+    /// Some instances did not give a valid answer.
     Partial,
 }
 
 /// Failure of a subcommand.
 #[derive(Debug)]
 pub enum Error {
-    /// The configuration is not valid, or nothing was found.
+    /// The configuration is not valid, nothing was found, or the diagram cannot be drawn.
     Failure(String),
-    /// The settings of the command are not valid.
+    /// The settings are not valid.
     Settings(SettingsError),
-    /// The settings lack what the subcommand needs.
+    /// A subcommand or a setting that it needs is missing.
     MissingInput(String),
     /// A file cannot be read or written.
     File {
-        /// Name of the file.
+        /// Path of the file.
         file: String,
-        /// Answer of the operating system.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// The store cannot be reached.
+    /// The store did not give a valid answer.
     Unreachable(String),
 }
 
 impl ExitStatus {
-    /// Returns the number that the process ends with.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
             Self::Success => 0,
@@ -57,7 +57,7 @@
 }
 
 impl Error {
-    /// Returns the exit code of the failure.
+    /// Returns the exit status for this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Failure(_) => ExitStatus::Failure,
--- a/crates/cowslipctl/src/explain.rs
+++ b/crates/cowslipctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! What the logs of instances say of one request: its own lines, then those about its keys.
+//! Subcommand `explain`: finds the log lines about a request and the events that may explain it.
 
 use {
     crate::{
@@ -11,21 +11,21 @@
     std::{fs, path::PathBuf},
 };
 
-/// Time before the first line of a request from which lines about its keys count, in milliseconds.
-const BEFORE: u64 = 5000;
+/// Range of related events before the first line of the request, in milliseconds.
+const RELATED_BEFORE_MS: u64 = 5000;
 
-/// Time after the last line of a request up to which they count: a release is told when it is over.
-const AFTER: u64 = 2000;
+/// Range of related events after the last line; releases are logged only once they complete.
+const RELATED_AFTER_MS: u64 = 2000;
 
-/// Events of moves and orders, of the leader and of the store, that explain what became of a request.
-const CAUSES: [&str; 11] = [
+/// Codes of events of moves, commands, the leader and the store that can affect a request.
+const RELATED_CODES: [&str; 11] = [
     "CC0210", "CC0206", "CC0405", "CC0603", "CC0604", "CC0608", "CC0609", "CC0612", "CC0613",
     "CC0614", "CC0616",
 ];
 
-/// A line of a log.
+/// A line of a JSON log.
 #[derive(Clone, Debug, Deserialize)]
-struct Line {
+struct LogLine {
     wall: u64,
     #[serde(default)]
     count: u32,
@@ -40,7 +40,7 @@
     target: Option<String>,
 }
 
-/// Explains a request from the logs of all instances.
+/// Returns the log lines about a request and the related events, in causal order.
 ///
 /// # Errors
 /// Fails if a log cannot be read or none mentions the request.
@@ -56,11 +56,13 @@
             file: path.display().to_string(),
             cause,
         })?;
-        lines.extend(text.lines().filter_map(line));
+        lines.extend(text.lines().filter_map(parse_line));
     }
-    let found = explain(&lines, &id);
+    let found = find_lines(&lines, &id);
     if found.is_empty() {
-        return Err(Error::Failure(format!("no line is about request {id:?}")));
+        return Err(Error::Failure(format!(
+            "no log line mentions request {id:?}"
+        )));
     }
     let text = found.iter().map(|line| {
         let (wall, count) = (line.wall, line.count);
@@ -79,49 +81,50 @@
     ))
 }
 
-/// Reads a line of a log; what stands before its JSON is left out, and other lines are passed over.
-fn line(text: &str) -> Option<Line> {
+/// Parses a log line, ignoring any prefix before its JSON; `None` if it has no valid JSON.
+fn parse_line(text: &str) -> Option<LogLine> {
     serde_json::from_str(&text[text.find('{')?..]).ok()
 }
 
-/// Returns the lines about a request and those about its keys and targets around its end.
-fn explain<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
-    let own = |line: &&Line| line.request.as_deref() == Some(id);
-    let mine: Vec<&Line> = lines.iter().filter(own).collect();
+/// Returns the lines of a request and the related ones around it, by key, target or process.
+fn find_lines<'a>(lines: &'a [LogLine], id: &str) -> Vec<&'a LogLine> {
+    let is_own = |line: &&LogLine| line.request.as_deref() == Some(id);
+    let own_lines: Vec<&LogLine> = lines.iter().filter(is_own).collect();
     let (Some(first), Some(last)) = (
-        mine.iter().map(|line| line.wall).min(),
-        mine.iter().map(|line| line.wall).max(),
+        own_lines.iter().map(|line| line.wall).min(),
+        own_lines.iter().map(|line| line.wall).max(),
     ) else {
         return Vec::new();
     };
-    let key = mine
+    let key = own_lines
         .iter()
         .find_map(|line| line.key.as_deref()?.parse().ok());
-    let targets: Vec<&str> = mine
+    let targets: Vec<&str> = own_lines
         .iter()
         .filter_map(|line| line.target.as_deref())
         .collect();
-    let process = mine[0].process.as_str();
-    let related = |line: &&Line| {
-        let near = (first.saturating_sub(BEFORE)..=last + AFTER).contains(&line.wall);
-        let about = match (&line.key, &line.target) {
-            (Some(range), _) => key.is_some_and(|key| covers(range, key)),
+    let process = own_lines[0].process.as_str();
+    let is_related = |line: &&LogLine| {
+        let is_near = (first.saturating_sub(RELATED_BEFORE_MS)..=last + RELATED_AFTER_MS)
+            .contains(&line.wall);
+        let is_about = match (&line.key, &line.target) {
+            (Some(range), _) => key.is_some_and(|key| contains_key(range, key)),
             (None, Some(target)) => line.process == process && targets.contains(&target.as_str()),
             (None, None) => line.process == process || line.code == "CC0608",
         };
-        line.request.is_none() && near && about && CAUSES.contains(&line.code.as_str())
+        line.request.is_none() && is_near && is_about && RELATED_CODES.contains(&line.code.as_str())
     };
-    let mut found: Vec<&Line> = lines
+    let mut found: Vec<&LogLine> = lines
         .iter()
-        .filter(related)
-        .chain(mine.iter().copied())
+        .filter(is_related)
+        .chain(own_lines.iter().copied())
         .collect();
     found.sort_by_key(|line| (line.wall, line.count));
     found
 }
 
-/// Returns whether a range such as `100-200` has the key.
-fn covers(range: &str, key: u16) -> bool {
+/// Returns whether a range such as `100-200`, ends included, contains the key.
+fn contains_key(range: &str, key: u16) -> bool {
     let ends = range.split_once('-').unwrap_or((range, range));
     match (ends.0.parse(), ends.1.parse()) {
         (Ok(first), Ok(last)) => (first..=last).contains(&key),
--- a/crates/cowslipctl/src/instances.rs
+++ b/crates/cowslipctl/src/instances.rs
@@ -1,4 +1,4 @@
-//! Asks the operators' ports of the instances.
+//! Queries the operators' ports of all instances.
 
 use {
     bytes::Bytes,
@@ -13,51 +13,56 @@
     tokio::{task::JoinSet, time::timeout},
 };
 
-/// Longest answer, in bytes.
-const LARGEST: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What the instances answered, and why others did not.
+/// Responses of the instances, and the errors of those without one.
 #[derive(Clone, Debug)]
 pub struct Responses<T> {
-    /// Responses by the name of the instance.
+    /// Responses by instance name.
     pub reached: BTreeMap<Name, T>,
-    /// Causes by the name of the instance.
+    /// Error messages by instance name.
     pub unreachable: BTreeMap<Name, String>,
 }
 
-/// Asks every instance at the same time for the JSON of a path.
+/// Sends a GET request for JSON at `path` to all instances concurrently.
 pub async fn query_all<T>(settings: &OperatorSettings, path: &'static str) -> Responses<T>
 where
     T: DeserializeOwned + Send + 'static,
 {
     let mut calls = JoinSet::new();
-    let limit = Duration::from_millis(settings.timeout_ms);
+    let time_limit = Duration::from_millis(settings.timeout_ms);
     for (name, address) in &settings.instances {
-        let call = get(*address, path, settings.token.clone());
+        let call = get_json(*address, path, settings.token.clone());
         let name = name.clone();
         calls.spawn(async move {
-            let late = format!("no answer within {} ms", limit.as_millis());
-            (name, timeout(limit, call).await.unwrap_or(Err(late)))
+            let timeout_error = format!("no answer within {} ms", time_limit.as_millis());
+            (
+                name,
+                timeout(time_limit, call)
+                    .await
+                    .unwrap_or(Err(timeout_error)),
+            )
         });
     }
-    let mut answers = Responses {
+    let mut responses = Responses {
         reached: BTreeMap::new(),
         unreachable: BTreeMap::new(),
     };
-    for (name, answer) in calls.join_all().await {
-        match answer {
-            Ok(answer) => {
-                answers.reached.insert(name, answer);
+    for (name, response) in calls.join_all().await {
+        match response {
+            Ok(response) => {
+                responses.reached.insert(name, response);
             }
             Err(cause) => {
-                answers.unreachable.insert(name, cause);
+                responses.unreachable.insert(name, cause);
             }
         }
     }
-    answers
+    responses
 }
 
-async fn get<T: DeserializeOwned>(
+async fn get_json<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
     token: Name,
@@ -67,12 +72,14 @@
         .body(Empty::<Bytes>::new())
         .map_err(|error| error.to_string())?;
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let answer = client
+    let response = client
         .request(request)
         .await
         .map_err(|error| format!("{:#}", Report::new(error)))?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), LARGEST).collect().await;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await;
     let body = body.map_err(|error| error.to_string())?.to_bytes();
     if !status.is_success() {
         return Err(format!("{status}: {}", String::from_utf8_lossy(&body)));
--- a/crates/cowslipctl/src/lib.rs
+++ b/crates/cowslipctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command: checks and shows configurations, looks at instances, explains requests.
+//! Operators' command: checks and shows configurations, queries instances and explains requests.
 
 pub mod cli;
 pub mod commands;
--- a/crates/cowslipctl/src/main.rs
+++ b/crates/cowslipctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the operators.
+//! Entry point of `cowslipctl`.
 
 use std::process::ExitCode;
 
@@ -6,6 +6,6 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let exit = runtime.block_on(cowslipctl::commands::run(std::env::args_os()))?;
-    Ok(ExitCode::from(exit.code()))
+    let exit_status = runtime.block_on(cowslipctl::commands::run(std::env::args_os()))?;
+    Ok(ExitCode::from(exit_status.code()))
 }
--- a/crates/cowslipctl/src/output.rs
+++ b/crates/cowslipctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What a subcommand prints, as text and as JSON.
+//! Output of a subcommand, as text and as JSON.
 
 use {
     crate::error::{Error, ExitStatus},
@@ -8,16 +8,16 @@
 /// Output of a subcommand.
 #[derive(Clone, Debug)]
 pub struct CommandOutput {
-    /// For people.
+    /// Output without `--json`.
     pub text: String,
-    /// For scripts.
+    /// Output with `--json`.
     pub json: Value,
-    /// Exit code.
+    /// Exit status of the process.
     pub exit_status: ExitStatus,
 }
 
 impl CommandOutput {
-    /// Returns the output of a subcommand that did all it should.
+    /// Creates the output of a subcommand that succeeded.
     pub fn success(text: impl Into<String>, json: Value) -> Self {
         Self {
             text: text.into(),
--- a/crates/cowslipctl/src/settings_loader.rs
+++ b/crates/cowslipctl/src/settings_loader.rs
@@ -1,4 +1,4 @@
-//! Settings of the command out of its file, its variable and its flags.
+//! Loads the settings of the command from its file, environment variables and flags.
 
 use {
     crate::error::{Error, Result},
@@ -10,17 +10,19 @@
     std::{env, path::PathBuf},
 };
 
-/// Variable that goes over the token of the file.
-const TOKEN: &str = "COWSLIPCTL_TOKEN";
+/// Environment variable that overrides the token of the settings file.
+const TOKEN_VARIABLE: &str = "COWSLIPCTL_TOKEN";
 
-/// Variable that names the file.
-const FILE: &str = "COWSLIPCTL_SETTINGS";
+/// Environment variable with the path of the settings file.
+const FILE_VARIABLE: &str = "COWSLIPCTL_SETTINGS";
 
-/// Returns the settings; flags go over the variable, and both over the file.
+/// Returns the settings; `--set` overrides the token variable, and both override the file.
 pub(crate) fn load_settings(matches: &ArgMatches) -> Result<OperatorSettings> {
-    let given = matches.get_one::<PathBuf>("settings").cloned();
-    let file = given.or_else(|| env::var_os(FILE).map(PathBuf::from));
-    let token = env::var(TOKEN).ok().map(|value| format!("token={value:?}"));
+    let flag_path = matches.get_one::<PathBuf>("settings").cloned();
+    let file = flag_path.or_else(|| env::var_os(FILE_VARIABLE).map(PathBuf::from));
+    let token = env::var(TOKEN_VARIABLE)
+        .ok()
+        .map(|value| format!("token={value:?}"));
     let flags = matches.get_many::<String>("set").unwrap_or_default();
     let all: Vec<_> = token.into_iter().chain(flags.cloned()).collect();
     let overrides = Overrides::parse(all.iter().map(String::as_str)).map_err(Error::Settings)?;
--- a/crates/cowslipctl/src/status.rs
+++ b/crates/cowslipctl/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of all instances.
+//! Subcommand `status`: shows the state of all instances.
 
 use {
     crate::{
@@ -13,9 +13,9 @@
     std::{collections::BTreeMap, fmt::Write},
 };
 
-/// What the table of instances shows of a status.
+/// Response of `/status`; only the fields of the table are named.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Status {
+struct InstanceStatus {
     data_centre: Name,
     ready: bool,
     stopping: bool,
@@ -23,13 +23,14 @@
     config: u64,
     targets: u64,
     active: u64,
-    ages: Ages,
+    ages: ViewAges,
     #[serde(flatten)]
     rest: BTreeMap<String, Value>,
 }
 
+/// Ages of what the instance knows; `None` if it has not received it yet.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct Ages {
+struct ViewAges {
     config_ms: Option<u64>,
     targets_ms: Option<u64>,
     owners_ms: Option<u64>,
@@ -37,23 +38,29 @@
 
 /// Shows the state of all instances.
 pub(crate) async fn show_status(settings: &OperatorSettings) -> Result<CommandOutput> {
-    let answers: Responses<Status> = instances::query_all(settings, "/status").await;
-    let exit_status = exit(settings, &answers)?;
+    let responses: Responses<InstanceStatus> = instances::query_all(settings, "/status").await;
+    let exit_status = exit_status(settings, &responses)?;
     Ok(CommandOutput {
-        text: table(&answers),
-        json: json!({ "instances": answers.reached, "unreachable": answers.unreachable }),
+        text: format_table(&responses),
+        json: json!({ "instances": responses.reached, "unreachable": responses.unreachable }),
         exit_status,
     })
 }
 
-/// Returns the exit code that fits who was reached.
-pub(crate) fn exit<T>(settings: &OperatorSettings, answers: &Responses<T>) -> Result<ExitStatus> {
+/// Returns the exit status for the instances that answered; fails if none are configured.
+pub(crate) fn exit_status<T>(
+    settings: &OperatorSettings,
+    responses: &Responses<T>,
+) -> Result<ExitStatus> {
     if settings.instances.is_empty() {
         let message = "settings: instances: missing, expected at least one address";
         return Err(Error::MissingInput(message.to_owned()));
     }
     Ok(
-        match (answers.reached.is_empty(), answers.unreachable.is_empty()) {
+        match (
+            responses.reached.is_empty(),
+            responses.unreachable.is_empty(),
+        ) {
             (true, _) => ExitStatus::Unreachable,
             (false, false) => ExitStatus::Partial,
             (false, true) => ExitStatus::Success,
@@ -61,46 +68,46 @@
     )
 }
 
-/// Returns the lines that name the instances that were not reached.
-pub(crate) fn unreachable(causes: &BTreeMap<Name, String>) -> String {
+/// Formats one line for each instance that could not be queried.
+pub(crate) fn format_unreachable(causes: &BTreeMap<Name, String>) -> String {
     let lines = causes
         .iter()
         .map(|(name, cause)| format!("unreachable: {name}: {cause}\n"));
     lines.collect()
 }
 
-fn table(answers: &Responses<Status>) -> String {
+fn format_table(responses: &Responses<InstanceStatus>) -> String {
     let mut text = format!(
         "{:<20} {:<12} {:<9} {:>6} {:>7} {:>8} {:>22}\n",
         "instance", "data centre", "state", "config", "targets", "requests", "ages of views in ms",
     );
-    for (name, status) in &answers.reached {
+    for (name, status) in &responses.reached {
         let ages = &status.ages;
-        let ages = [ages.config_ms, ages.targets_ms, ages.owners_ms].map(age);
+        let ages = [ages.config_ms, ages.targets_ms, ages.owners_ms].map(format_age);
         // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "{name:<20} {:<12} {:<9} {:>6} {:>7} {:>8} {:>22}",
             status.data_centre,
-            state(status),
+            state_label(status),
             status.config,
             status.targets,
             status.active,
             ages.join(" / "),
         );
     }
-    text + &unreachable(&answers.unreachable)
+    text + &format_unreachable(&responses.unreachable)
 }
 
-fn state(status: &Status) -> &'static str {
+fn state_label(status: &InstanceStatus) -> &'static str {
     match status {
-        Status { stopping: true, .. } => "stopping",
-        Status { ready: false, .. } => "not ready",
-        Status { leads: true, .. } => "leader",
+        InstanceStatus { stopping: true, .. } => "stopping",
+        InstanceStatus { ready: false, .. } => "not ready",
+        InstanceStatus { leads: true, .. } => "leader",
         _ => "ready",
     }
 }
 
-fn age(age: Option<u64>) -> String {
+fn format_age(age: Option<u64>) -> String {
     age.map_or_else(|| "never".to_owned(), |age| age.to_string())
 }
--- a/crates/cowslipctl/src/timeline.rs
+++ b/crates/cowslipctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of all instances, merged in causal order.
+//! Subcommand `timeline`: merges the events of all instances in causal order.
 
 pub mod diagram;
 pub mod event;
@@ -20,21 +20,21 @@
     std::{collections::BTreeMap, fs, path::PathBuf},
 };
 
-/// Shows the merged events.
+/// Shows the merged events, or writes them to a file.
 pub(crate) async fn show_timeline(
     settings: &OperatorSettings,
     matches: &ArgMatches,
 ) -> Result<CommandOutput> {
-    let answers: Responses<EventPage> = instances::query_all(settings, "/events").await;
-    let exit_status = status::exit(settings, &answers)?;
-    let events = merge_events(&answers.reached, &EventFilter::from(matches));
-    let gaps = gaps(&answers.reached);
-    let missing = status::unreachable(&answers.unreachable);
-    let json = json!({ "events": events, "gaps": gaps, "unreachable": answers.unreachable });
-    let text = match format(matches) {
+    let responses: Responses<EventPage> = instances::query_all(settings, "/events").await;
+    let exit_status = status::exit_status(settings, &responses)?;
+    let events = merge_events(&responses.reached, &EventFilter::from(matches));
+    let gaps = count_missing(&responses.reached);
+    let unreachable_text = status::format_unreachable(&responses.unreachable);
+    let json = json!({ "events": events, "gaps": gaps, "unreachable": responses.unreachable });
+    let text = match output_format(matches) {
         "svg" => diagram::render_svg(&events).map_err(|error| Error::Failure(error.to_string()))?,
         "json" => format!("{json}\n"),
-        _ => text(&events, &gaps) + &missing,
+        _ => format_text(&events, &gaps) + &unreachable_text,
     };
     let Some(path) = matches.get_one::<PathBuf>("out") else {
         return Ok(CommandOutput {
@@ -43,20 +43,20 @@
             exit_status,
         });
     };
-    save(path, &text)?;
+    write_file(path, &text)?;
     let file = path.display().to_string();
     Ok(CommandOutput {
-        text: format!("{} events in {file}\n{missing}", events.len()),
+        text: format!("{} events in {file}\n{unreachable_text}", events.len()),
         json: json!({
             "events": events.len(), "file": file, "gaps": gaps,
-            "unreachable": answers.unreachable,
+            "unreachable": responses.unreachable,
         }),
         exit_status,
     })
 }
 
-/// Returns the form of the output.
-fn format(matches: &ArgMatches) -> &str {
+/// Returns the output format; `--json` overrides `--format`.
+fn output_format(matches: &ArgMatches) -> &str {
     if matches.get_flag("json") {
         return "json";
     }
@@ -65,7 +65,7 @@
         .map_or("text", String::as_str)
 }
 
-/// Merges pages in causal order; events of one stamp are ordered by process and number.
+/// Merges pages in causal order; equal timestamps are ordered by process, incarnation and number.
 pub fn merge_events(pages: &BTreeMap<Name, EventPage>, filter: &EventFilter) -> Vec<Event> {
     let all = pages.values().flat_map(|page| &page.events);
     let mut events: Vec<Event> = filter.select(all).into_iter().cloned().collect();
@@ -73,8 +73,8 @@
     events
 }
 
-/// Returns by instance how many events are no longer to be had.
-fn gaps(pages: &BTreeMap<Name, EventPage>) -> BTreeMap<Name, u64> {
+/// Counts for each instance the events that it dropped or skipped.
+fn count_missing(pages: &BTreeMap<Name, EventPage>) -> BTreeMap<Name, u64> {
     let missing = |page: &EventPage| page.dropped + page.skipped.values().sum::<u64>();
     let gaps = pages
         .iter()
@@ -82,15 +82,15 @@
     gaps.filter(|(_, count)| *count > 0).collect()
 }
 
-fn text(events: &[Event], gaps: &BTreeMap<Name, u64>) -> String {
+fn format_text(events: &[Event], gaps: &BTreeMap<Name, u64>) -> String {
     let mut text: String = events.iter().map(|event| format!("{event}\n")).collect();
     for (name, count) in gaps {
-        text += &format!("{name} no longer has {count} events\n");
+        text += &format!("{name}: {count} events dropped or skipped\n");
     }
     text
 }
 
-fn save(path: &PathBuf, text: &str) -> Result<()> {
+fn write_file(path: &PathBuf, text: &str) -> Result<()> {
     fs::write(path, text).map_err(|cause| Error::File {
         file: path.display().to_string(),
         cause,
--- a/crates/cowslipctl/src/timeline/diagram.rs
+++ b/crates/cowslipctl/src/timeline/diagram.rs
@@ -1,4 +1,4 @@
-//! A picture of a time line: one lane for each process, one point for each event.
+//! SVG diagram of a timeline, with a lane for each instance and a point for each event.
 
 use {
     super::event::Event,
@@ -12,51 +12,55 @@
     },
 };
 
-/// Result of drawing a picture.
+/// Result of drawing a diagram.
 pub type Result<T> = std::result::Result<T, DrawingAreaErrorKind<io::Error>>;
 
-/// Width in pixels.
-const WIDTH: u32 = 1400;
+/// Width of the diagram in pixels.
+const WIDTH_PX: u32 = 1400;
 /// Height of a lane in pixels.
-const LANE: u32 = 60;
-/// Height of the axis and the margins in pixels.
-const FRAME: u32 = 100;
+const LANE_HEIGHT_PX: u32 = 60;
+/// Height of the x axis and the margins in pixels.
+const FRAME_HEIGHT_PX: u32 = 100;
 /// Radius of a point in pixels.
-const RADIUS: i32 = 4;
-/// Events that are labelled with their code; more would hide each other.
-const LABELLED: usize = 150;
-/// Room for the names of the processes in pixels.
-const NAMES: u32 = 160;
+const POINT_RADIUS_PX: i32 = 4;
+/// Maximum number of events with code labels; more labels would overlap.
+const MAX_LABELLED_EVENTS: usize = 150;
+/// Width reserved for instance names in pixels.
+const NAME_WIDTH_PX: u32 = 160;
 
-/// Returns the picture as SVG.
+/// Renders the events, which must be in causal order, as SVG.
 ///
 /// # Errors
-/// Passes on what the plotting library says.
+/// Fails if the plotting library cannot draw the diagram.
 pub fn render_svg(events: &[Event]) -> Result<String> {
     let mut text = String::new();
-    draw(events, &mut text)?;
+    draw_events(events, &mut text)?;
     Ok(text)
 }
 
-fn draw(events: &[Event], text: &mut String) -> Result<()> {
+fn draw_events(events: &[Event], text: &mut String) -> Result<()> {
     let names: BTreeSet<_> = events.iter().map(|event| &event.process).collect();
     let lanes: BTreeMap<_, _> = names.into_iter().zip(0_u32..).collect();
-    let count = lanes.len().max(1) as u32;
+    let lane_count = lanes.len().max(1) as u32;
     let first = events.first().map_or(0, |event| event.wall);
     let last = events.last().map_or(0, |event| event.wall);
     let span = (last - first).max(1) as f64;
-    let at = |event: &Event| {
+    let event_position = |event: &Event| {
         let lane = lanes.get(&event.process).copied().unwrap_or_default();
         ((event.wall - first) as f64, f64::from(lane) + 0.5)
     };
 
-    let area = SVGBackend::with_string(text, (WIDTH, LANE * count + FRAME)).into_drawing_area();
+    let area = SVGBackend::with_string(
+        text,
+        (WIDTH_PX, LANE_HEIGHT_PX * lane_count + FRAME_HEIGHT_PX),
+    )
+    .into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(20)
         .x_label_area_size(40)
-        .y_label_area_size(NAMES)
-        .build_cartesian_2d(-span * 0.02..span * 1.05, 0.0..f64::from(count))?;
+        .y_label_area_size(NAME_WIDTH_PX)
+        .build_cartesian_2d(-span * 0.02..span * 1.05, 0.0..f64::from(lane_count))?;
     chart
         .configure_mesh()
         .disable_mesh()
@@ -64,29 +68,33 @@
         .y_labels(0)
         .draw()?;
     for (name, lane) in &lanes {
-        let centre = f64::from(*lane) + 0.5;
-        let line = vec![(0.0, centre), (span, centre)];
+        let lane_centre = f64::from(*lane) + 0.5;
+        let line = vec![(0.0, lane_centre), (span, lane_centre)];
         chart.draw_series([PathElement::new(line, BLACK.mix(0.2))])?;
         let font = ("sans-serif", 14).into_font();
-        let place = (-span * 0.02, centre + 0.3);
-        chart.draw_series([Text::new(name.to_string(), place, font)])?;
+        let position = (-span * 0.02, lane_centre + 0.3);
+        chart.draw_series([Text::new(name.to_string(), position, font)])?;
     }
-    let points = events
-        .iter()
-        .map(|event| Circle::new(at(event), RADIUS, color(event).filled()));
+    let points = events.iter().map(|event| {
+        Circle::new(
+            event_position(event),
+            POINT_RADIUS_PX,
+            level_color(event).filled(),
+        )
+    });
     chart.draw_series(points)?;
-    if events.len() <= LABELLED {
+    if events.len() <= MAX_LABELLED_EVENTS {
         let font = || ("sans-serif", 10).into_font();
         let labels = events
             .iter()
-            .map(|event| Text::new(event.code.clone(), at(event), font()));
+            .map(|event| Text::new(event.code.clone(), event_position(event), font()));
         chart.draw_series(labels)?;
     }
     area.present()?;
     Ok(())
 }
 
-fn color(event: &Event) -> RGBColor {
+fn level_color(event: &Event) -> RGBColor {
     match event.level.as_str() {
         "error" => RGBColor(190, 0, 0),
         "warn" => RGBColor(220, 130, 0),
--- a/crates/cowslipctl/src/timeline/event.rs
+++ b/crates/cowslipctl/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! Events as the operators' ports answer them.
+//! Events as returned by `/events` on the operators' ports.
 
 use {
     cowslip_decide::names::Name,
@@ -6,48 +6,48 @@
     std::{collections::BTreeMap, fmt},
 };
 
-/// Milliseconds of a day.
-const DAY: u64 = 86_400_000;
+/// Milliseconds in a day.
+const DAY_MS: u64 = 86_400_000;
 
-/// Events of one process.
+/// Response of `/events` of one instance.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EventPage {
-    /// Events, the oldest first.
+    /// Events, oldest first.
     pub events: Vec<Event>,
-    /// Events that the ring has dropped.
+    /// Number of events that the ring buffer has dropped.
     pub dropped: u64,
-    /// Events beyond the rate of their kind, by code.
+    /// Number of events skipped by the rate limit of their code, by code.
     pub skipped: BTreeMap<String, u64>,
 }
 
-/// One event.
+/// An event recorded by an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Number in the run of its process.
+    /// Sequence number within the incarnation of the instance.
     pub seq: u64,
     /// Milliseconds since 1970 on the hybrid logical clock.
     pub wall: u64,
-    /// Orders the events of one millisecond.
+    /// Logical counter of that clock, which orders events of one millisecond.
     pub count: u32,
-    /// Instance that recorded it.
+    /// Instance that recorded the event.
     pub process: Name,
     /// Data centre of that instance.
     pub data_centre: Name,
-    /// Run of that instance.
+    /// Incarnation of that instance.
     pub incarnation: u64,
-    /// Number of the kind.
+    /// Code of the event type, such as `CC0701`.
     pub code: String,
-    /// Weight.
+    /// Log level.
     pub level: String,
-    /// What happened.
+    /// Message.
     pub text: String,
-    /// Request, attempt or order.
+    /// ID of a request, an attempt or a command.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Name>,
-    /// Key or range.
+    /// Key or key range.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<Name>,
-    /// Target.
+    /// ID of a target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<Name>,
     /// Instance that the event is about.
@@ -56,7 +56,7 @@
 }
 
 impl Event {
-    /// Returns what the causal order compares.
+    /// Returns the key by which events are sorted in causal order.
     pub fn sort_key(&self) -> impl Ord + '_ {
         (
             self.wall,
@@ -70,12 +70,12 @@
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let millis = self.wall % DAY;
+        let millis = self.wall % DAY_MS;
         let (hours, minutes) = (millis / 3_600_000, millis / 60_000 % 60);
-        let (seconds, rest) = (millis / 1000 % 60, millis % 1000);
+        let (seconds, fraction) = (millis / 1000 % 60, millis % 1000);
         write!(
             f,
-            "{hours:02}:{minutes:02}:{seconds:02}.{rest:03}+{:<3} ",
+            "{hours:02}:{minutes:02}:{seconds:02}.{fraction:03}+{:<3} ",
             self.count
         )?;
         write!(
@@ -83,13 +83,13 @@
             "{:<16} {} {:<5} {}",
             self.process, self.code, self.level, self.text
         )?;
-        let about = [
+        let details = [
             ("request", &self.request),
             ("key", &self.key),
             ("target", &self.target),
             ("instance", &self.instance),
         ];
-        for (name, value) in about {
+        for (name, value) in details {
             if let Some(value) = value
                 .as_ref()
                 .filter(|value| !self.text.contains(&***value))
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command as operators run it: output, exit codes, and instances that cannot be reached.
+//! Runs the `cowslipctl` binary and checks its output and exit codes, also with unreachable instances.
 
 use {
     cowslip_adapter_standins::{
@@ -23,71 +23,71 @@
 
 const TOKEN: &str = "a-long-token";
 
-/// Runs the command with `words` and returns its exit code, standard output and error output.
-async fn run(words: &[&str]) -> (i32, String, String) {
-    let words: Vec<String> = words.iter().map(|word| (*word).to_owned()).collect();
+/// Runs the command and returns its exit code, standard output and standard error.
+async fn run(arguments: &[&str]) -> (i32, String, String) {
+    let arguments: Vec<String> = arguments.iter().map(|it| (*it).to_owned()).collect();
     let command = move || {
         Command::new(env!("CARGO_BIN_EXE_cowslipctl"))
-            .args(&words)
+            .args(&arguments)
             .env_remove("COWSLIPCTL_SETTINGS")
             .env_remove("COWSLIPCTL_TOKEN")
             .output()
     };
     let output: Output = spawn_blocking(command)
         .await
-        .expect("a thread")
-        .expect("the command");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+        .expect("thread finished")
+        .expect("command started");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8 output");
     (
-        output.status.code().expect("a code"),
+        output.status.code().expect("exit code"),
         text(output.stdout),
         text(output.stderr),
     )
 }
 
-/// A directory with the files of one test.
-struct Files(PathBuf);
+/// Directory for the files of one test.
+struct TestDir(PathBuf);
 
-impl Files {
+impl TestDir {
     fn new(test: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-        fs::create_dir_all(&path).expect("a directory");
+        fs::create_dir_all(&path).expect("test directory");
         Self(path)
     }
 
     fn write(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
-        fs::write(&path, text).expect("a file");
+        fs::write(&path, text).expect("test file");
         path.display().to_string()
     }
 }
 
 #[tokio::test]
-async fn check_says_what_instances_would_leave_out() {
-    let files = Files::new("check");
-    let whole = config("r5", "boards");
-    let good = files.write("good.json", &whole.replace("\"nowhere\"", "\"boards\""));
+async fn check_rejects_configuration_with_invalid_parts() {
+    let dir = TestDir::new("check");
+    let text = config("r5", "boards");
+    let good = dir.write("good.json", &text.replace("\"nowhere\"", "\"boards\""));
     let (code, out, error) = run(&["check", &good]).await;
     assert_eq!(code, 0, "{error}");
     assert!(
         out.contains("valid, version 5, 4 routes, 2 services"),
         "{out}"
     );
-    let bad = files.write("bad.json", &whole);
+    let bad = dir.write("bad.json", &text);
     let (code, _, error) = run(&["check", &bad]).await;
     assert_eq!(code, 1);
     assert!(error.contains("service nowhere of route lost"), "{error}");
-    let broken = files.write("broken.json", "{");
+    let broken = dir.write("broken.json", "{");
     let (code, out, _) = run(&["check", &broken, "--json"]).await;
     let json: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!((code, &json["exit"]), (1, &1.into()));
 }
 
 #[tokio::test]
-async fn wrong_flags_and_settings_are_usage_errors() {
-    let files = Files::new("usage");
-    let settings = files.write("ctl.toml", "token = \"x\"\ntimeout = 3\n");
-    for (words, said) in [
+async fn invalid_flags_and_settings_exit_with_usage_error() {
+    let dir = TestDir::new("usage");
+    let settings = dir.write("ctl.toml", "token = \"x\"\ntimeout = 3\n");
+    for (args, message) in [
         (vec!["check"], "<FILE>"),
         (vec!["remove"], "unrecognized subcommand"),
         (vec!["show"], "store"),
@@ -102,14 +102,14 @@
         ),
         (vec!["check", "no-such-file.json"], "no-such-file.json"),
     ] {
-        let (code, _, error) = run(&words).await;
-        assert_eq!(code, 2, "{words:?}: {error}");
-        assert!(error.contains(said), "{words:?}: {error}");
+        let (code, _, error) = run(&args).await;
+        assert_eq!(code, 2, "{args:?}: {error}");
+        assert!(error.contains(message), "{args:?}: {error}");
     }
 }
 
 #[tokio::test]
-async fn every_subcommand_has_help_with_examples() {
+async fn help_of_each_subcommand_has_examples() {
     let (code, out, _) = run(&["--help"]).await;
     assert!(code == 0 && out.contains("Exit codes:"), "{out}");
     for name in ["check", "show", "status", "timeline", "explain"] {
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn show_prints_what_is_in_force() {
+async fn show_prints_stored_configuration() {
     let store = Store::start().await;
     let set = format!("--set=store={}", store.address());
     let (code, _, error) = run(&["show", &set]).await;
@@ -152,10 +152,10 @@
     assert!(code == 4 && error.contains("store unreachable"), "{error}");
 }
 
-/// Serves the operators' pages of an instance with some events; returns the flag that names it.
-async fn instance(name: &'static str, events: Events) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Starts a server with the operators' endpoints of an instance; returns the flag with its address.
+async fn start_instance(name: &'static str, events: Events) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("local address");
     let status = json!({
         "name": name, "data_centre": "hk-1", "ready": true, "stopping": false, "leads": false,
         "config": 5, "targets": 4, "active": 0,
@@ -164,27 +164,28 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let service = service_fn(|request: http::Request<hyper::body::Incoming>| {
-                let given = request.headers().get(AUTHORIZATION);
-                let granted = given.is_some_and(|it| it == format!("Bearer {TOKEN}").as_str());
+                let authorization = request.headers().get(AUTHORIZATION);
+                let authorized =
+                    authorization.is_some_and(|it| it == format!("Bearer {TOKEN}").as_str());
                 let body = match request.uri().path() {
                     "/status" => status.to_string(),
                     _ => serde_json::to_string(&events.page(0)).expect("JSON"),
                 };
                 let mut response = Response::new(Full::new(Bytes::from(body)));
-                if !granted {
+                if !authorized {
                     *response.status_mut() = StatusCode::UNAUTHORIZED;
                 }
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // The command closes its connections as it likes.
+            // The command may close the connection at any time.
             let _ = connection.await;
         }
     });
     format!("--set=instances.{name}={address}")
 }
 
-fn origin(name: &str) -> Events {
+fn create_events(name: &str) -> Events {
     let origin = Origin {
         process: name.into(),
         data_centre: "hk-1".into(),
@@ -194,14 +195,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_and_timeline_say_whom_they_could_not_reach() {
-    let (one, two) = (origin("entry-1"), origin("entry-2"));
-    let first = instance("entry-1", one.clone()).await;
-    let second = instance("entry-2", two.clone()).await;
-    let closed = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let gone = closed.local_addr().expect("an address");
+async fn status_and_timeline_list_unreachable_instances() {
+    let (one, two) = (create_events("entry-1"), create_events("entry-2"));
+    let first = start_instance("entry-1", one.clone()).await;
+    let second = start_instance("entry-2", two.clone()).await;
+    let closed = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let closed_address = closed.local_addr().expect("local address");
     drop(closed);
-    let gone = format!("--set=instances.entry-3={gone}");
+    let unreachable = format!("--set=instances.entry-3={closed_address}");
     let token = "--set=token=a-long-token";
     one.note(events::LEADER_LOST, About::default());
     two.witness(one.clock());
@@ -212,13 +213,13 @@
         code == 0 && out.contains("entry-1 ") && out.contains("3 / 700 / never"),
         "{out}"
     );
-    let (code, out, _) = run(&["status", token, &first, &second, &gone]).await;
+    let (code, out, _) = run(&["status", token, &first, &second, &unreachable]).await;
     assert!(code == 5 && out.contains("unreachable: entry-3: "), "{out}");
-    assert_eq!(run(&["status", token, &gone]).await.0, 4);
+    assert_eq!(run(&["status", token, &unreachable]).await.0, 4);
     let (code, out, _) = run(&["status", "--set=token=wrong-token", &first]).await;
     assert!(code == 4 && out.contains("401"), "{out}");
 
-    let (code, out, _) = run(&["timeline", token, &first, &second, &gone]).await;
+    let (code, out, _) = run(&["timeline", token, &first, &second, &unreachable]).await;
     let lines: Vec<_> = out.lines().collect();
     assert_eq!((code, lines.len()), (5, 3), "{out}");
     assert!(
@@ -226,24 +227,24 @@
         "{out}"
     );
     assert!(lines[2].starts_with("unreachable: entry-3: "), "{out}");
-    let words = [
+    let args = [
         "timeline",
         token,
         &first,
         &second,
-        &gone,
+        &unreachable,
         "--json",
         "--instance=entry-2",
     ];
-    let (code, out, _) = run(&words).await;
+    let (code, out, _) = run(&args).await;
     let json: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!(
         (code, json["events"].as_array().map(Vec::len)),
         (5, Some(1))
     );
     assert!(json["unreachable"]["entry-3"].is_string());
-    let svg = Files::new("timeline").write("out.svg", "");
-    let words = [
+    let svg = TestDir::new("timeline").write("out.svg", "");
+    let args = [
         "timeline",
         token,
         &first,
@@ -252,9 +253,9 @@
         "--out",
         &svg,
     ];
-    assert_eq!(run(&words).await.0, 0);
-    let picture = fs::read_to_string(&svg).expect("a file");
-    assert!(picture.contains("<circle"));
-    let words = ["timeline", token, &first, "--json", "--format=svg"];
-    assert_eq!(run(&words).await.0, 2);
+    assert_eq!(run(&args).await.0, 0);
+    let diagram = fs::read_to_string(&svg).expect("test file");
+    assert!(diagram.contains("<circle"));
+    let args = ["timeline", token, &first, "--json", "--format=svg"];
+    assert_eq!(run(&args).await.0, 2);
 }
--- a/crates/cowslipctl/tests/explain.rs
+++ b/crates/cowslipctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `cowslipctl explain` finds the cause of a request in true log lines.
+//! `cowslipctl explain` finds the causes of failed requests in recorded log lines.
 
 use {
     cowslipctl::{commands, error::ExitStatus, explain},
@@ -10,23 +10,23 @@
 
 const LOG: &str = include_str!("logs/trouble.log");
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_log(name: &str, text: &str) -> PathBuf {
     let path = env::temp_dir().join(format!("cowslip-explain-{}-{name}", std::process::id()));
-    fs::write(&path, text).expect("a file");
+    fs::write(&path, text).expect("log file");
     path
 }
 
-fn reply(id: &str, path: &Path) -> cowslipctl::error::Result<String> {
-    let path = path.to_str().expect("a path");
+fn explain_text(id: &str, path: &Path) -> cowslipctl::error::Result<String> {
+    let path = path.to_str().expect("UTF-8 path");
     let matches =
         cowslipctl::cli::build_command().get_matches_from(["cowslipctl", "explain", id, path]);
-    let (_, matches) = matches.subcommand().expect("a subcommand");
-    explain::explain_request(matches).map(|reply| reply.text)
+    let (_, matches) = matches.subcommand().expect("subcommand");
+    explain::explain_request(matches).map(|output| output.text)
 }
 
 #[test]
-fn each_kind_of_failure_shows_its_cause() {
-    let path = file("kinds", LOG);
+fn failed_requests_are_explained_by_related_events() {
+    let path = write_log("kinds", LOG);
     let cases = [
         ("7c5ee32bd7d4ed08", vec!["CC0701"], "overload"),
         (
@@ -41,29 +41,29 @@
         ),
     ];
     for (id, codes, cause) in cases {
-        let text = reply(id, &path).expect("an explanation");
-        let found: Vec<&str> = text
+        let text = explain_text(id, &path).expect("log lines");
+        let found_codes: Vec<&str> = text
             .lines()
             .filter_map(|line| line.split(' ').nth(2))
             .collect();
-        assert_eq!(found, codes, "{text}");
+        assert_eq!(found_codes, codes, "{text}");
         assert!(text.contains(cause), "{text}");
     }
-    fs::remove_file(path).expect("the file is there");
+    fs::remove_file(path).expect("log file removed");
 }
 
 #[tokio::test]
-async fn an_unknown_request_is_said_to_be_unknown() {
-    let path = file("unknown", LOG);
-    assert!(reply("0000000000000000", &path).is_err());
+async fn unknown_request_fails() {
+    let path = write_log("unknown", LOG);
+    assert!(explain_text("0000000000000000", &path).is_err());
     let args = [
         "cowslipctl",
         "explain",
         "0",
-        path.to_str().expect("a path"),
+        path.to_str().expect("UTF-8 path"),
         "--json",
     ];
-    let exit = commands::run(args.map(Into::into)).await.expect("output");
-    assert_eq!(exit, ExitStatus::Failure);
-    fs::remove_file(path).expect("the file is there");
+    let exit_status = commands::run(args.map(Into::into)).await.expect("output");
+    assert_eq!(exit_status, ExitStatus::Failure);
+    fs::remove_file(path).expect("log file removed");
 }
--- a/crates/cowslipctl/tests/timeline.rs
+++ b/crates/cowslipctl/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The merge of events in causal order, its filters and its picture.
+//! Merging of events in causal order, filters and the SVG diagram.
 
 use {
     cowslip_decide::names::{Incarnation, Name},
@@ -13,9 +13,9 @@
     std::collections::BTreeMap,
 };
 
-const PROCESSES: usize = 4;
+const PROCESS_COUNT: usize = 4;
 
-fn process(index: usize) -> Events {
+fn create_process(index: usize) -> Events {
     let origin = Origin {
         process: format!("entry-{index}").into(),
         data_centre: format!("hk-{}", index % 2).into(),
@@ -24,10 +24,10 @@
     Events::new(origin, 10_000, None)
 }
 
-fn pages(processes: &[Events]) -> BTreeMap<Name, EventPage> {
+fn collect_pages(processes: &[Events]) -> BTreeMap<Name, EventPage> {
     let page = |events: &Events| {
         let json = serde_json::to_string(&events.page(0)).expect("JSON");
-        serde_json::from_str(&json).expect("a page")
+        serde_json::from_str(&json).expect("events page")
     };
     let named = processes.iter().enumerate();
     named
@@ -35,33 +35,35 @@
         .collect()
 }
 
-/// Events carry the set of all events that can have caused them; the merge puts those before.
+/// Checks random message exchanges: the merge puts all possible causes of an event before it,
+/// although one process has a clock that is hours ahead.
 #[test]
-fn a_cause_stands_before_its_effect() {
+fn merge_puts_causes_before_effects() {
     for seed in 0..50 {
         let mut random = Gen::from_size_and_seed(10, seed);
-        let processes: Vec<_> = (0..PROCESSES).map(process).collect();
-        // One clock is hours ahead.
+        let processes: Vec<_> = (0..PROCESS_COUNT).map(create_process).collect();
+        // This clock is hours ahead of the others.
         let now = processes[0].clock();
         processes[0].witness(Stamp {
             wall: now.wall + 10_000_000,
             ..now
         });
-        // For each process the numbers of the events that it knows of; messages carry them.
-        let mut known: Vec<Vec<usize>> = vec![Vec::new(); PROCESSES];
+        // Numbers of the events that each process knows of; messages pass them on.
+        let mut known: Vec<Vec<usize>> = vec![Vec::new(); PROCESS_COUNT];
         let mut causes: Vec<Vec<usize>> = Vec::new();
         for number in 0..200 {
             let (from, to) = (
-                usize::arbitrary(&mut random) % PROCESSES,
-                usize::arbitrary(&mut random) % PROCESSES,
+                usize::arbitrary(&mut random) % PROCESS_COUNT,
+                usize::arbitrary(&mut random) % PROCESS_COUNT,
             );
             if bool::arbitrary(&mut random) {
                 processes[to].witness(processes[from].clock());
-                let more = known[from].clone();
-                known[to].extend(more);
+                let received = known[from].clone();
+                known[to].extend(received);
             }
             causes.push(known[from].clone());
             known[from].push(number);
+            // STORE_DOWN events are not sampled, so none is missing from the pages.
             let detail = Some(number.to_string());
             processes[from].note(
                 events::STORE_DOWN,
@@ -70,27 +72,26 @@
                     ..About::default()
                 },
             );
-            // A frequent kind would be sampled; this one is not.
             known.iter_mut().for_each(|it| {
                 it.sort_unstable();
                 it.dedup();
             });
         }
-        // Numbers follow the events in the order of noting, not of the merge.
-        let merged = merge_events(&pages(&processes), &EventFilter::default());
+        // Events are numbered in the order in which they were recorded, not merged.
+        let merged = merge_events(&collect_pages(&processes), &EventFilter::default());
         assert_eq!(merged.len(), 200);
-        let number = |event: &Event| {
+        let parse_number = |event: &Event| {
             event
                 .text
                 .rsplit(' ')
                 .next()
                 .and_then(|it| it.parse::<usize>().ok())
         };
-        let places: BTreeMap<_, _> = merged.iter().filter_map(number).zip(0..).collect();
+        let positions: BTreeMap<_, _> = merged.iter().filter_map(parse_number).zip(0..).collect();
         for (effect, causes) in causes.iter().enumerate() {
             for cause in causes {
                 assert!(
-                    places[cause] < places[&effect],
+                    positions[cause] < positions[&effect],
                     "seed {seed}: {cause} after {effect}"
                 );
             }
@@ -99,100 +100,103 @@
 }
 
 #[test]
-fn filters_keep_what_they_name() {
-    let processes: Vec<_> = (0..2).map(process).collect();
-    let some = |text: &str| Some(Name::from(text));
-    let about = [
+fn filters_select_matching_events() {
+    let processes: Vec<_> = (0..2).map(create_process).collect();
+    let name = |text: &str| Some(Name::from(text));
+    let details = [
         About {
-            request: some("entry-0-1-7"),
-            target: some("board-1"),
+            request: name("entry-0-1-7"),
+            target: name("board-1"),
             ..About::default()
         },
         About {
-            request: some("entry-0-1-7.2"),
-            target: some("board-2"),
+            request: name("entry-0-1-7.2"),
+            target: name("board-2"),
             ..About::default()
         },
         About {
-            request: some("entry-0-1-71"),
-            key: some("site-4"),
+            request: name("entry-0-1-71"),
+            key: name("site-4"),
             ..About::default()
         },
         About {
-            instance: some("entry-9"),
+            instance: name("entry-9"),
             ..About::default()
         },
     ];
-    for (index, about) in about.into_iter().enumerate() {
-        processes[index % 2].note(events::STORE_UP, about);
+    for (index, detail) in details.into_iter().enumerate() {
+        processes[index % 2].note(events::STORE_UP, detail);
     }
-    let count = |filter: EventFilter| merge_events(&pages(&processes), &filter).len();
-    let all = EventFilter::default;
-    assert_eq!(count(all()), 4);
+    let count = |filter: EventFilter| merge_events(&collect_pages(&processes), &filter).len();
+    let no_filter = EventFilter::default;
+    assert_eq!(count(no_filter()), 4);
     assert_eq!(
         count(EventFilter {
-            request: some("entry-0-1-7"),
-            ..all()
+            request: name("entry-0-1-7"),
+            ..no_filter()
         }),
         1
     );
     assert_eq!(
         count(EventFilter {
-            target: some("board-2"),
-            ..all()
+            target: name("board-2"),
+            ..no_filter()
         }),
         1
     );
     assert_eq!(
         count(EventFilter {
-            key: some("site-4"),
-            ..all()
+            key: name("site-4"),
+            ..no_filter()
         }),
         1
     );
     assert_eq!(
         count(EventFilter {
-            instance: some("entry-9"),
-            ..all()
+            instance: name("entry-9"),
+            ..no_filter()
         }),
         1
     );
     assert_eq!(
         count(EventFilter {
-            instance: some("entry-0"),
-            ..all()
+            instance: name("entry-0"),
+            ..no_filter()
         }),
         2
     );
     assert_eq!(
         count(EventFilter {
-            data_centre: some("hk-1"),
-            ..all()
+            data_centre: name("hk-1"),
+            ..no_filter()
         }),
         2
     );
     assert_eq!(
         count(EventFilter {
-            data_centre: some("hk-1"),
-            target: some("board-1"),
-            ..all()
+            data_centre: name("hk-1"),
+            target: name("board-1"),
+            ..no_filter()
         }),
         0
     );
 }
 
 #[test]
-fn the_picture_has_a_point_for_each_event() {
-    let processes: Vec<_> = (0..3).map(process).collect();
+fn diagram_has_a_point_for_each_event() {
+    let processes: Vec<_> = (0..3).map(create_process).collect();
     (0..9).for_each(|index| processes[index % 3].note(events::LEADER_LOST, About::default()));
-    let svg = diagram::render_svg(&merge_events(&pages(&processes), &EventFilter::default()))
-        .expect("a picture");
+    let svg = diagram::render_svg(&merge_events(
+        &collect_pages(&processes),
+        &EventFilter::default(),
+    ))
+    .expect("diagram");
     assert_eq!(svg.matches("<circle").count(), 9);
     assert_eq!(svg.matches("CC0609").count(), 9);
     (0..3).for_each(|index| assert_eq!(svg.matches(&format!("entry-{index}")).count(), 1, "{svg}"));
     assert!(
         diagram::render_svg(&[])
-            .expect("an empty picture")
+            .expect("empty diagram")
             .starts_with("<svg")
     );
 }
