--- a/crates/cowslipctl/src/cli.rs
+++ b/crates/cowslipctl/src/cli.rs
@@ -43,7 +43,7 @@
 /// Builds the parser for the command line.
 pub fn build_command() -> Command {
     Command::new("cowslipctl")
-        .about("Checks and shows configurations of cowslipcross, queries instances and explains requests")
+        .about("Checks configurations of cowslipcross, queries instances and explains requests")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(EXIT_CODES_HELP)
         .subcommand_required(true)
@@ -51,7 +51,7 @@
         .arg(
             file_arg(
                 "settings",
-                "Settings file; default: COWSLIPCTL_SETTINGS",
+                "Settings file; default: the path in COWSLIPCTL_SETTINGS",
             )
             .long("settings")
             .global(true),
@@ -71,7 +71,10 @@
                 .global(true)
                 .help("Print JSON"),
         )
-        .subcommand(build_subcommand("check", "Validate a configuration file", CHECK_EXAMPLES).arg(configuration_file()))
+        .subcommand(
+            build_subcommand("check", "Validate a configuration file", CHECK_EXAMPLES)
+                .arg(configuration_file()),
+        )
         .subcommand(build_subcommand(
             "show",
             "Print the configuration in the store",
--- a/crates/cowslipctl/src/configuration.rs
+++ b/crates/cowslipctl/src/configuration.rs
@@ -25,7 +25,9 @@
     let causes: Vec<String> = config.skipped.iter().map(ToString::to_string).collect();
     if !causes.is_empty() {
         let causes = causes.join("\n  ");
-        return Err(Error::Failure(format!("{name}: left out:\n  {causes}")));
+        return Err(Error::Failure(format!(
+            "{name}: invalid parts, which instances skip:\n  {causes}"
+        )));
     }
     let counts = format_counts(&config);
     Ok(CommandOutput::success(
@@ -70,7 +72,7 @@
         );
     }
     for error in &config.skipped {
-        text += &format!("left out: {error}\n");
+        text += &format!("skipped: {error}\n");
     }
     let mut json = summarize(&config);
     json["withdrawn"] = json!(withdrawn);
--- a/crates/cowslipctl/src/error.rs
+++ b/crates/cowslipctl/src/error.rs
@@ -17,9 +17,9 @@
     Failure,
     /// The flags or settings are not valid, or a file cannot be read or written.
     Usage,
-    /// The store, or every instance, did not give a valid answer.
+    /// The store, or every instance, could not be queried.
     Unreachable,
-    /// Some instances did not give a valid answer.
+    /// Some instances could not be queried.
     Partial,
 }
 
@@ -39,7 +39,7 @@
         /// Error of the operating system.
         cause: io::Error,
     },
-    /// The store did not give a valid answer.
+    /// The store could not be queried.
     Unreachable(String),
 }
 
--- a/crates/cowslipctl/src/explain.rs
+++ b/crates/cowslipctl/src/explain.rs
@@ -11,10 +11,10 @@
     std::{fs, path::PathBuf},
 };
 
-/// Range of related events before the first line of the request, in milliseconds.
+/// Time before the first line of a request within which events count as related, in milliseconds.
 const RELATED_BEFORE_MS: u64 = 5000;
 
-/// Range of related events after the last line; releases are logged only once they complete.
+/// Time after its last line within which they do; a release is logged only once it is over.
 const RELATED_AFTER_MS: u64 = 2000;
 
 /// Codes of events of moves, commands, the leader and the store that can affect a request.
@@ -110,6 +110,7 @@
         let is_about = match (&line.key, &line.target) {
             (Some(range), _) => key.is_some_and(|key| contains_key(range, key)),
             (None, Some(target)) => line.process == process && targets.contains(&target.as_str()),
+            // CC0608: any instance may have become leader.
             (None, None) => line.process == process || line.code == "CC0608",
         };
         line.request.is_none() && is_near && is_about && RELATED_CODES.contains(&line.code.as_str())
--- a/crates/cowslipctl/src/status.rs
+++ b/crates/cowslipctl/src/status.rs
@@ -13,7 +13,7 @@
     std::{collections::BTreeMap, fmt::Write},
 };
 
-/// Response of `/status`; only the fields of the table are named.
+/// Response of `/status`; fields that the table does not show are in `rest`, for JSON output.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct InstanceStatus {
     data_centre: Name,
@@ -28,7 +28,7 @@
     rest: BTreeMap<String, Value>,
 }
 
-/// Ages of what the instance knows; `None` if it has not received it yet.
+/// Time since each view of the instance was last updated; `None` if it never was.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct ViewAges {
     config_ms: Option<u64>,
--- a/crates/cowslipctl/src/timeline.rs
+++ b/crates/cowslipctl/src/timeline.rs
@@ -55,7 +55,7 @@
     })
 }
 
-/// Returns the output format; `--json` overrides `--format`.
+/// Returns `json` for `--json`, else the value of `--format`, else `text`.
 fn output_format(matches: &ArgMatches) -> &str {
     if matches.get_flag("json") {
         return "json";
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -71,7 +71,7 @@
 /// Reads the settings from TOML and applies the overrides; `file` is the name used in errors.
 ///
 /// # Errors
-/// Fails if the file cannot be read or a value is not valid.
+/// Fails if the text is not valid TOML or a value is not valid.
 pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<OperatorSettings> {
     reader::parse(text, file, FIELDS, overrides, read_settings)
 }
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -12,7 +12,7 @@
     },
     bounds::Bounds,
     cowslip_decide::names::Name,
-    listen::Listen,
+    listen::ListenAddresses,
     std::{net::SocketAddr, path::Path},
 };
 
@@ -42,7 +42,7 @@
     data_type: DataType::Secret(0, 256),
     unit: "",
     default: Some(""),
-    description: "Bearer token for `/status` and `/events`; if empty, all requests to them are denied.",
+    description: "Bearer token for `/status` and `/events`; if empty, both are denied.",
 };
 
 const CPU_FIELD: Field = Field {
@@ -50,7 +50,7 @@
     data_type: DataType::Decimal,
     unit: "cores",
     default: Some("1"),
-    description: "CPU cores available to the instance; those with more take on more of the shared work.",
+    description: "CPU cores available to the instance; instances with more do more shared work.",
 };
 
 /// Settings of an instance of the router.
@@ -67,7 +67,7 @@
     /// Bearer token for `/status` and `/events`; if empty, all requests to them are denied.
     pub token: Name,
     /// Addresses on which the instance listens.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Time limits and retry budget of the deployment.
     pub bounds: Bounds,
 }
@@ -87,7 +87,7 @@
 /// Reads the settings from TOML and applies the overrides; `file` is the name used in errors.
 ///
 /// # Errors
-/// Fails if the file cannot be read or a value is not valid.
+/// Fails if the text is not valid TOML or a value is not valid.
 pub fn parse(text: &str, file: &str, overrides: &Overrides) -> Result<ProcessSettings> {
     reader::parse(text, file, FIELDS, overrides, read_settings)
 }
@@ -99,7 +99,7 @@
         store: root.read_address(&STORE_FIELD)?,
         cpu: root.read_decimal(&CPU_FIELD)?,
         token: root.read_text(&TOKEN_FIELD)?,
-        listen: Listen::from_root(root)?,
+        listen: ListenAddresses::from_root(root)?,
         bounds: Bounds::from_root(root)?,
     })
 }
@@ -112,7 +112,7 @@
         CPU_FIELD,
         TOKEN_FIELD,
     ],
-    Listen::FIELDS,
+    ListenAddresses::FIELDS,
     Bounds::FIELDS,
 ];
 
--- a/crates/settings/src/process/listen.rs
+++ b/crates/settings/src/process/listen.rs
@@ -23,7 +23,7 @@
 
 /// Addresses on which an instance listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// Address for requests of callers.
     pub callers: SocketAddr,
     /// Address for readiness probes of the platform.
@@ -34,7 +34,7 @@
     pub heartbeats: SocketAddr,
 }
 
-impl Listen {
+impl ListenAddresses {
     /// All fields of the section, in the order of the docs.
     pub const FIELDS: &'static [Field] = &[
         CALLERS_FIELD,
