--- a/crates/cowslipctl/src/cli.rs
+++ b/crates/cowslipctl/src/cli.rs
@@ -16,8 +16,8 @@
 
 const CHECK_EXAMPLES: &str = "\
 Examples:
-  cowslipctl check board.json
-  cowslipctl check board.json --json";
+  cowslipctl check configuration.json
+  cowslipctl check configuration.json --json";
 
 const SHOW_EXAMPLES: &str = "\
 Examples:
@@ -31,7 +31,7 @@
 
 const TIMELINE_EXAMPLES: &str = "\
 Examples:
-  cowslipctl timeline --target board-07
+  cowslipctl timeline --target target-07
   cowslipctl timeline --request 7c5ee32bd7d4ed08 --json
   cowslipctl timeline --data-centre hk-2 --format svg --out withdrawal.svg";
 
@@ -82,7 +82,7 @@
         ))
         .subcommand(build_subcommand(
             "status",
-            "Show the state of all instances",
+            "Show the state of all instances, with the ages of configuration, targets and owners",
             STATUS_EXAMPLES,
         ))
         .subcommand(timeline_command())
--- a/crates/cowslipctl/src/commands.rs
+++ b/crates/cowslipctl/src/commands.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the path of a required argument.
+/// Returns the path of a required argument, without which clap rejects the command line.
 fn required_path<'a>(matches: &'a ArgMatches, name: &str) -> &'a Path {
     matches
         .get_one::<PathBuf>(name)
--- a/crates/cowslipctl/src/explain.rs
+++ b/crates/cowslipctl/src/explain.rs
@@ -14,10 +14,15 @@
 /// Time before the first line of a request within which events count as related, in milliseconds.
 const RELATED_BEFORE_MS: u64 = 5000;
 
-/// Time after its last line within which they do; a release is logged only once it is over.
+/// Time after the last line of the request within which events count as related, in milliseconds.
+///
+/// A release of keys that made the request fail may follow, as it is logged only once it is over.
 const RELATED_AFTER_MS: u64 = 2000;
 
 /// Codes of events of moves, commands, the leader and the store that can affect a request.
+///
+/// In the order of codes: owners adopted, owners recorded, target draining, store down, store up,
+/// leader gained, leader lost, target gone, keys released, command failed, release requested.
 const RELATED_CODES: [&str; 11] = [
     "CC0210", "CC0206", "CC0405", "CC0603", "CC0604", "CC0608", "CC0609", "CC0612", "CC0613",
     "CC0614", "CC0616",
@@ -26,7 +31,9 @@
 /// A line of a JSON log.
 #[derive(Clone, Debug, Deserialize)]
 struct LogLine {
+    /// Milliseconds since 1970 on the hybrid logical clock.
     wall: u64,
+    /// Logical counter of that clock, which orders events of one millisecond.
     #[serde(default)]
     count: u32,
     process: String,
@@ -81,7 +88,7 @@
     ))
 }
 
-/// Parses a log line, ignoring any prefix before its JSON; `None` if it has no valid JSON.
+/// Parses the JSON of a log line, after a prefix such as a log collector adds; `None` if invalid.
 fn parse_line(text: &str) -> Option<LogLine> {
     serde_json::from_str(&text[text.find('{')?..]).ok()
 }
@@ -107,10 +114,11 @@
     let is_related = |line: &&LogLine| {
         let is_near = (first.saturating_sub(RELATED_BEFORE_MS)..=last + RELATED_AFTER_MS)
             .contains(&line.wall);
+        // Lines with a key are matched by key alone; of the others, only those of the process that
+        // served the request count, except that a new leader (CC0608) affects all instances.
         let is_about = match (&line.key, &line.target) {
             (Some(range), _) => key.is_some_and(|key| contains_key(range, key)),
             (None, Some(target)) => line.process == process && targets.contains(&target.as_str()),
-            // CC0608: any instance may have become leader.
             (None, None) => line.process == process || line.code == "CC0608",
         };
         line.request.is_none() && is_near && is_about && RELATED_CODES.contains(&line.code.as_str())
--- a/crates/cowslipctl/src/instances.rs
+++ b/crates/cowslipctl/src/instances.rs
@@ -21,7 +21,7 @@
 pub struct Responses<T> {
     /// Responses by instance name.
     pub reached: BTreeMap<Name, T>,
-    /// Error messages by instance name.
+    /// Error messages of instances that did not answer with success and valid JSON, by name.
     pub unreachable: BTreeMap<Name, String>,
 }
 
@@ -36,7 +36,7 @@
         let call = get_json(*address, path, settings.token.clone());
         let name = name.clone();
         calls.spawn(async move {
-            let timeout_error = format!("no answer within {} ms", time_limit.as_millis());
+            let timeout_error = format!("no response within {} ms", time_limit.as_millis());
             (
                 name,
                 timeout(time_limit, call)
--- a/crates/cowslipctl/src/status.rs
+++ b/crates/cowslipctl/src/status.rs
@@ -19,9 +19,13 @@
     data_centre: Name,
     ready: bool,
     stopping: bool,
+    /// Whether the instance is the leader.
     leads: bool,
+    /// Version of the configuration; 0 without one.
     config: u64,
+    /// Number of targets.
     targets: u64,
+    /// Number of requests in progress.
     active: u64,
     ages: ViewAges,
     #[serde(flatten)]
--- a/crates/cowslipctl/src/timeline.rs
+++ b/crates/cowslipctl/src/timeline.rs
@@ -28,7 +28,7 @@
     let responses: Responses<EventPage> = instances::query_all(settings, "/events").await;
     let exit_status = status::exit_status(settings, &responses)?;
     let events = merge_events(&responses.reached, &EventFilter::from(matches));
-    let gaps = count_missing(&responses.reached);
+    let gaps = count_gaps(&responses.reached);
     let unreachable_text = status::format_unreachable(&responses.unreachable);
     let json = json!({ "events": events, "gaps": gaps, "unreachable": responses.unreachable });
     let text = match output_format(matches) {
@@ -73,12 +73,12 @@
     events
 }
 
-/// Counts for each instance the events that it dropped or skipped.
-fn count_missing(pages: &BTreeMap<Name, EventPage>) -> BTreeMap<Name, u64> {
-    let missing = |page: &EventPage| page.dropped + page.skipped.values().sum::<u64>();
+/// Counts the gaps of each instance: the events that it dropped or skipped.
+fn count_gaps(pages: &BTreeMap<Name, EventPage>) -> BTreeMap<Name, u64> {
+    let gap_count = |page: &EventPage| page.dropped + page.skipped.values().sum::<u64>();
     let gaps = pages
         .iter()
-        .map(|(name, page)| (name.clone(), missing(page)));
+        .map(|(name, page)| (name.clone(), gap_count(page)));
     gaps.filter(|(_, count)| *count > 0).collect()
 }
 
--- a/crates/cowslipctl/src/timeline/diagram.rs
+++ b/crates/cowslipctl/src/timeline/diagram.rs
@@ -56,6 +56,7 @@
     )
     .into_drawing_area();
     area.fill(&WHITE)?;
+    // Margins of 2 % of the span before the first event, and of 5 % after the last for its label.
     let mut chart = ChartBuilder::on(&area)
         .margin(20)
         .x_label_area_size(40)
@@ -72,6 +73,7 @@
         let line = vec![(0.0, lane_centre), (span, lane_centre)];
         chart.draw_series([PathElement::new(line, BLACK.mix(0.2))])?;
         let font = ("sans-serif", 14).into_font();
+        // The name stands above the line of its lane.
         let position = (-span * 0.02, lane_centre + 0.3);
         chart.draw_series([Text::new(name.to_string(), position, font)])?;
     }
--- a/crates/cowslipctl/src/timeline/event.rs
+++ b/crates/cowslipctl/src/timeline/event.rs
@@ -70,6 +70,7 @@
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // Time of day in UTC, then the logical counter.
         let millis = self.wall % DAY_MS;
         let (hours, minutes) = (millis / 3_600_000, millis / 60_000 % 60);
         let (seconds, fraction) = (millis / 1000 % 60, millis % 1000);
@@ -89,6 +90,7 @@
             ("target", &self.target),
             ("instance", &self.instance),
         ];
+        // Details that the message already contains are left out.
         for (name, value) in details {
             if let Some(value) = value
                 .as_ref()
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Runs the `cowslipctl` binary and checks its output and exit codes, also with unreachable instances.
+//! Output and exit codes of the `cowslipctl` binary, also when instances are unreachable.
 
 use {
     cowslip_adapter_standins::{
@@ -65,6 +65,7 @@
 #[tokio::test]
 async fn check_rejects_configuration_with_invalid_parts() {
     let dir = TestDir::new("check");
+    // Version 5 with a route to a service that does not exist.
     let text = config("r5", "boards");
     let good = dir.write("good.json", &text.replace("\"nowhere\"", "\"boards\""));
     let (code, out, error) = run(&["check", &good]).await;
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -18,6 +18,10 @@
 }
 
 /// Type of a field with its allowed range.
+///
+/// The platform fills a template of the settings file whose placeholders stand in quotes. Therefore
+/// a number may arrive as a string, and a placeholder without a value as an empty string, which
+/// selects the default of a duration or decimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DataType {
     /// String with a minimum and maximum length in bytes.
@@ -28,9 +32,9 @@
     Integer(u64, u64),
     /// `ip:port` with a port of 1 or more.
     Address,
-    /// String with a duration and its unit; an empty string selects the default.
-    TimeSpan,
-    /// Number of 0 or more, also in a string; an empty string selects the default.
+    /// String with a duration and its unit.
+    DurationText,
+    /// Number of 0 or more, which may be given as a string.
     Decimal,
 }
 
@@ -61,7 +65,7 @@
             Self::Secret(min, max) => write!(f, "a secret string of {min} to {max} bytes"),
             Self::Integer(min, max) => write!(f, "an integer from {min} to {max}"),
             Self::Address => f.write_str("an address as ip:port with a port from 1 to 65535"),
-            Self::TimeSpan => f.write_str("a duration such as \"2500ms\" or \"6s\", at most a day"),
+            Self::DurationText => f.write_str("a duration like \"2500ms\" or \"6s\", up to a day"),
             Self::Decimal => f.write_str("a number of 0 or more"),
         }
     }
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// Values as text, by the path of their field.
+/// Values of `--set` flags as text, by the path of their field.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides(pub BTreeMap<String, String>);
 
@@ -67,7 +67,7 @@
         _ => Err(Error::UnknownField {
             location: Location::Flag,
             path: path.to_owned(),
-            expected: format!("no field below {key}"),
+            expected: format!("{key} alone, as it is not a table"),
         }),
     }
 }
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance of the router.
+//! Settings of an instance of the router, which is one process.
 
 pub mod bounds;
 pub mod listen;
@@ -50,7 +50,7 @@
     data_type: DataType::Decimal,
     unit: "cores",
     default: Some("1"),
-    description: "CPU cores available to the instance; instances with more do more shared work.",
+    description: "CPU cores available to the instance; those with more are preferred as leader and pool coordinator.",
 };
 
 /// Settings of an instance of the router.
--- a/crates/settings/src/process/bounds.rs
+++ b/crates/settings/src/process/bounds.rs
@@ -9,17 +9,17 @@
     std::time::Duration,
 };
 
-const GRACE_FIELD: Field = time_span_field(
+const GRACE_FIELD: Field = duration_field(
     "bounds.grace",
     "6s",
     "Time from the stop signal until the platform kills the process.",
 );
-const WITHDRAWAL_FIELD: Field = time_span_field(
+const WITHDRAWAL_FIELD: Field = duration_field(
     "bounds.withdrawal",
     "5s",
     "Time within which a withdrawn data centre must stop getting requests.",
 );
-const MAX_TTL_FIELD: Field = time_span_field("bounds.max_hold", "10s", "Maximum TTL of a grant.");
+const MAX_TTL_FIELD: Field = duration_field("bounds.max_hold", "10s", "Maximum TTL of a grant.");
 const RETRY_RATIO_FIELD: Field = decimal_field(
     "bounds.retry_ratio",
     "0.2",
@@ -28,9 +28,9 @@
 const RETRY_SLACK_FIELD: Field = decimal_field(
     "bounds.retry_slack",
     "30",
-    "Retries allowed in addition to that ratio, for all instances together.",
+    "Retries allowed beyond `retry_ratio` in a `retry_window`, for all instances together.",
 );
-const RETRY_WINDOW_FIELD: Field = time_span_field(
+const RETRY_WINDOW_FIELD: Field = duration_field(
     "bounds.retry_window",
     "10s",
     "Sliding window over which retries are counted.",
@@ -47,7 +47,7 @@
     pub max_ttl: Duration,
     /// Allowed ratio of retries to requests.
     pub retry_ratio: f64,
-    /// Retries allowed in addition to that ratio, for all instances together.
+    /// Retries allowed beyond `retry_ratio` in a `retry_window`, for all instances together.
     pub retry_slack: f64,
     /// Sliding window over which retries are counted.
     pub retry_window: Duration,
@@ -68,24 +68,24 @@
     pub(crate) fn from_root(root: &Section<'_>) -> Result<Self> {
         let section = root.read_section_or_empty("bounds")?;
         Ok(Self {
-            grace: section.read_time_span(&GRACE_FIELD)?,
-            withdrawal: section.read_time_span(&WITHDRAWAL_FIELD)?,
-            max_ttl: section.read_time_span(&MAX_TTL_FIELD)?,
+            grace: section.read_duration(&GRACE_FIELD)?,
+            withdrawal: section.read_duration(&WITHDRAWAL_FIELD)?,
+            max_ttl: section.read_duration(&MAX_TTL_FIELD)?,
             retry_ratio: section.read_decimal(&RETRY_RATIO_FIELD)?,
             retry_slack: section.read_decimal(&RETRY_SLACK_FIELD)?,
-            retry_window: section.read_time_span(&RETRY_WINDOW_FIELD)?,
+            retry_window: section.read_duration(&RETRY_WINDOW_FIELD)?,
         })
     }
 }
 
-const fn time_span_field(
+const fn duration_field(
     path: &'static str,
     default: &'static str,
     description: &'static str,
 ) -> Field {
     Field {
         path,
-        data_type: DataType::TimeSpan,
+        data_type: DataType::DurationText,
         unit: "",
         default: Some(default),
         description,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -95,6 +95,7 @@
         let root = Section {
             source: self,
             table: Some(table.get_ref()),
+            // A missing top-level field is reported in line 1.
             span: 0..0,
             path: String::new(),
         };
@@ -158,9 +159,9 @@
     }
 
     /// Returns the duration of a field, or its default if missing or empty.
-    pub fn read_time_span(&self, field: &Field) -> Result<Duration> {
+    pub fn read_duration(&self, field: &Field) -> Result<Duration> {
         match self.find_nonempty(field) {
-            Some(found) => found.read_time_span(),
+            Some(found) => found.read_duration(),
             None => duration(self.default_text(field)?).map_err(|_| self.missing_field(field)),
         }
     }
@@ -190,7 +191,7 @@
     /// Returns the table under a key, or `None` if it is missing.
     pub fn read_section(&self, key: &str) -> Result<Option<Self>> {
         self.find_value(key)
-            .map(|found| found.read_section())
+            .map(|found| found.to_section())
             .transpose()
     }
 
@@ -247,6 +248,8 @@
         field.default.ok_or_else(|| self.missing_field(field))
     }
 
+    /// Returns the error for a missing field; also for a default that is not a valid value, such as
+    /// an empty address.
     fn missing_field(&self, field: &Field) -> Error {
         self.missing_key(field.key(), field.data_type.to_string())
     }
@@ -254,6 +257,7 @@
     fn check_known_keys(&self) -> Result<()> {
         let keys = child_keys(self.source.fields, &self.path);
         for (key, _) in self.table.into_iter().flatten() {
+            // `*` in the path of a field allows any key.
             if keys.contains("*") || keys.contains(key.get_ref().as_ref()) {
                 continue;
             }
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Returns the string if it is valid for `data_type`.
+    /// Returns the string if it is valid for `data_type`: a text, a secret or an address.
     pub fn read_text(&self, data_type: DataType) -> Result<Name> {
         let text = self.value.get_ref().as_str();
         text.filter(|text| is_valid_text(data_type, text))
@@ -298,10 +302,10 @@
     }
 
     /// Returns the duration.
-    fn read_time_span(&self) -> Result<Duration> {
+    fn read_duration(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
-        let time_span = text.and_then(|text| duration(text).ok());
-        time_span.ok_or_else(|| self.invalid_value(DataType::TimeSpan.to_string()))
+        let parsed = text.and_then(|text| duration(text).ok());
+        parsed.ok_or_else(|| self.invalid_value(DataType::DurationText.to_string()))
     }
 
     /// Returns the number, which may be given as a string.
@@ -340,7 +344,7 @@
         }
     }
 
-    fn read_section(&self) -> Result<Section<'a>> {
+    fn to_section(&self) -> Result<Section<'a>> {
         let Some(table) = self.value.get_ref().as_table() else {
             return Err(self.invalid_value("a table"));
         };
@@ -359,7 +363,7 @@
     match data_type {
         DataType::Text(min, max) | DataType::Secret(min, max) => (min..=max).contains(&text.len()),
         DataType::Address => text.parse().is_ok_and(|it: SocketAddr| it.port() > 0),
-        DataType::Integer(..) | DataType::TimeSpan | DataType::Decimal => false,
+        DataType::Integer(..) | DataType::DurationText | DataType::Decimal => false,
     }
 }
 
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -75,8 +75,8 @@
 fn errors_contain_file_line_path_and_expected_value() {
     let error =
         parse_settings(&VALID.replace("\"7s\"", "\"7 h\""), &[]).expect_err("invalid duration");
-    let text = "entry.toml:14: bounds.grace: expected a duration such as \"2500ms\" or \"6s\", \
-                at most a day, found \"7 h\"";
+    let text = "entry.toml:14: bounds.grace: expected a duration like \"2500ms\" or \"6s\", \
+                up to a day, found \"7 h\"";
     assert_eq!(error.to_string(), text);
     assert_rejected("\"7s\"", "7", Some(14), "bounds.grace", "found 7");
     assert_rejected(
@@ -135,7 +135,12 @@
     let error = parse_settings(VALID, &["bounds.beat=1"]).expect_err("unknown field");
     assert_error(&error, None, "bounds.beat", "grace");
     let error = parse_settings(VALID, &["name.deeper=1"]).expect_err("field below a string");
-    assert_error(&error, None, "name.deeper", "no field below name");
+    assert_error(
+        &error,
+        None,
+        "name.deeper",
+        "expected name alone, as it is not a table",
+    );
     let error = parse_settings(VALID, &["nothing"]).expect_err("flag without value");
     assert_error(&error, None, "nothing", "path=value");
 }
