--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -11,11 +11,11 @@
         },
         peers::{datagram, membership, message::Message},
     },
-    cowslip_adapter::store::{Check, Commit, OWN_TABLE, Put, Row, Rows},
+    cowslip_adapter::store::{CommitOutcome, ROUTER_TABLE, Row, RowSet, RowWrite, VersionCheck},
     cowslip_decide::{
-        lead::{Mark, Moment, Seat, Step, Turn},
+        election::{ClaimDelay, ElectionAction, LeaderRow, LocalTime, StoreTimestamp},
         names::Name,
-        owners::{Life, Table, inherited},
+        owners::{AssignmentTable, TargetIncarnation, max_grant_lifetime},
     },
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, rc::Rc, time::Duration},
@@ -126,13 +126,13 @@
     loop {
         let led = context.leads();
         let turn = turn(&context, delay);
-        let step = context.lead.borrow_mut().step(clock::moment(), turn);
+        let step = context.lead.borrow_mut().next_action(clock::moment(), turn);
         let searches =
             !led && searches(&context) && reads.at.elapsed() >= SEARCH && reads.are_due(&context);
         let free = yields <= Instant::now() && context.stopping.get().is_none();
         match step {
-            Step::Write { version } if free => claim(&context, version).await,
-            Step::Read if reads.are_due(&context) => {
+            ElectionAction::Write { version } if free => claim(&context, version).await,
+            ElectionAction::Read if reads.are_due(&context) => {
                 reads.read(&context).await;
                 continue;
             }
@@ -169,13 +169,13 @@
 
 /// Returns when this instance takes a row that is free; `delay` is its own time to leave to others
 /// while it knows no members.
-fn turn(context: &Context, delay: Duration) -> Turn {
+fn turn(context: &Context, delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::weight(context.settings.cpu);
     let strongest = context.membership.borrow().strongest(own);
-    Turn {
-        after: stagger(context, delay),
-        yields: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
+    ClaimDelay {
+        duration: stagger(context, delay),
+        includes_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
     }
 }
 
@@ -209,7 +209,7 @@
 pub async fn refresh(context: &Context) -> bool {
     let _one = context.writing.lock().await;
     let sent = clock::moment();
-    let read = context.rows.rows(OWN_TABLE, LIMIT).await;
+    let read = context.rows.read_table(ROUTER_TABLE, LIMIT).await;
     context.metrics.store_call("owners", read.is_ok());
     context.store_answered(read.is_ok());
     let Ok(rows) = read else {
@@ -225,24 +225,30 @@
 }
 
 /// Takes the leader's row as the store has it.
-fn see(context: &Context, rows: &Rows, sent: Moment) {
+fn see(context: &Context, rows: &RowSet, sent: LocalTime) {
     let row = rows.rows.iter().find(|row| row.key == SEAT_KEY);
-    let mark = rows.now.map(|store| Mark { store, sent });
+    let mark = rows.store_time.map(|store| StoreTimestamp {
+        store_time: store,
+        sent_at: sent,
+    });
     let value = row.and_then(|row| row.value.as_deref());
     let wire: Option<WireSeat> = value.and_then(|value| serde_json::from_slice(value).ok());
     let own = wire.as_ref().is_some_and(|it| it.run == context.run);
-    let seat = Seat {
+    let seat = LeaderRow {
         version: row.map_or(0, |row| row.version),
-        own,
-        vacant: wire.as_ref().is_none_or(|it| it.run.is_empty()),
-        marked: wire
+        is_own: own,
+        released: wire.as_ref().is_none_or(|it| it.run.is_empty()),
+        lease_start: wire
             .as_ref()
             .and_then(|it| it.told)
             .map(Duration::from_millis),
     };
     let granted = wire.as_ref().and_then(|it| grants_end(context, it));
     context.former.set(Some((seat.version, granted)));
-    context.lead.borrow_mut().read(seat, clock::moment(), mark);
+    context
+        .lead
+        .borrow_mut()
+        .apply_row(seat, clock::moment(), mark);
     if let Some(wire) = wire.filter(|_| !own) {
         context.leader.set(Some(wire.heartbeats));
     }
@@ -252,7 +258,7 @@
 /// said when it gave its row up, or else that of a grant sent at the end of its lease.
 fn grants_end(context: &Context, row: &WireSeat) -> Option<Duration> {
     let said = row.granted.map(Duration::from_millis);
-    let longest = inherited(context.bounds.borrow().max_ttl, courier::FLIGHT);
+    let longest = max_grant_lifetime(context.bounds.borrow().max_ttl, courier::FLIGHT);
     said.or_else(|| Some(Duration::from_millis(row.told?) + TERM + longest))
 }
 
@@ -278,7 +284,7 @@
     let detail = format!(
         "service {service}, version {}, {} pieces",
         row.version,
-        table.pieces.len()
+        table.assignments.len()
     );
     owners.insert(
         service.into(),
@@ -294,10 +300,14 @@
 }
 
 /// Reads owners and their last known addresses.
-fn read(service: &str, row: &Row, all: &[Row]) -> Result<(Table, Vec<(Life, SocketAddr)>), String> {
+fn read(
+    service: &str,
+    row: &Row,
+    all: &[Row],
+) -> Result<(AssignmentTable, Vec<(TargetIncarnation, SocketAddr)>), String> {
     let wire = record::read(service, row, all)?;
     let addresses = wire.addresses();
-    let table = Table::try_from(wire).map_err(str::to_owned)?;
+    let table = AssignmentTable::try_from(wire).map_err(str::to_owned)?;
     Ok((table, addresses))
 }
 
@@ -327,38 +337,51 @@
     context.leader.set(Some(context.settings.listen.heartbeats));
     context.leading.set(Some(Instant::now()));
     keep::take_members(context);
-    let version = context.lead.borrow().version();
+    let version = context.lead.borrow().row_version();
     context.note(events::LEADER_GAINED, format!("version {version}"));
     context.work.notify_one();
 }
 
 /// Returns the time of the store's clock that a write says. Without one it says the beginning of
 /// the clock, so that its lease has run out and the next write says what this one's answer told.
-fn said(context: &Context, now: Moment) -> Mark {
-    let mark = context.lead.borrow().mark();
-    mark.unwrap_or(Mark {
-        store: Duration::ZERO,
-        sent: Moment {
-            steady: now.steady,
-            boot: Duration::ZERO,
+fn said(context: &Context, now: LocalTime) -> StoreTimestamp {
+    let mark = context.lead.borrow().store_timestamp();
+    mark.unwrap_or(StoreTimestamp {
+        store_time: Duration::ZERO,
+        sent_at: LocalTime {
+            monotonic: now.monotonic,
+            since_boot: Duration::ZERO,
         },
     })
 }
 
 /// Takes the end of a write of the leader's row.
-fn settle(context: &Context, (said, sent): (Mark, Moment), end: &cowslip_adapter::Result<Commit>) {
+fn settle(
+    context: &Context,
+    (said, sent): (StoreTimestamp, LocalTime),
+    end: &cowslip_adapter::Result<CommitOutcome>,
+) {
     match end {
-        Ok(Commit::Done { version, now }) => {
-            let told = now.map_or(said, |store| Mark { store, sent });
-            context.lead.borrow_mut().written(said, *version, told);
+        Ok(CommitOutcome::Committed {
+            version,
+            store_time: now,
+        }) => {
+            let told = now.map_or(said, |store| StoreTimestamp {
+                store_time: store,
+                sent_at: sent,
+            });
+            context
+                .lead
+                .borrow_mut()
+                .confirm_write(said, *version, told);
         }
-        Ok(Commit::Conflict(rows)) => match rows.rows.iter().any(|row| row.key == SEAT_KEY) {
+        Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == SEAT_KEY) {
             true => see(context, rows, sent),
-            false => context.lead.borrow_mut().unanswered(),
+            false => context.lead.borrow_mut().mark_write_unanswered(),
         },
-        Err(error) if error.may_have_happened() => {
+        Err(error) if error.is_outcome_unknown() => {
             context.note(events::WRITE_UNKNOWN, error.to_string());
-            context.lead.borrow_mut().unanswered();
+            context.lead.borrow_mut().mark_write_unanswered();
         }
         // Nothing was written: the next step tries again.
         Err(error) => context.note(events::WRITE_REFUSED, error.to_string()),
@@ -366,13 +389,18 @@
 }
 
 /// Records owners under the condition that this instance still is the leader.
-pub async fn record(context: &Context, service: &Name, before: u64, table: &Table) -> Recorded {
+pub async fn record(
+    context: &Context,
+    service: &Name,
+    before: u64,
+    table: &AssignmentTable,
+) -> Recorded {
     let one = context.writing.lock().await;
     if !context.leads() {
         return Recorded::Refused;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let held = context.lead.borrow().version();
+    let held = context.lead.borrow().row_version();
     let wire = WireTable::new(table, |life| context.address(life));
     let Ok(mut puts) = record::rows(service, &wire) else {
         return Recorded::Refused;
@@ -386,23 +414,28 @@
     context.metrics.store_call("record", end.is_ok());
     settle(context, (said, sent), &end);
     match end {
-        Ok(Commit::Done { version, .. }) => {
+        Ok(CommitOutcome::Committed { version, .. }) => {
             took_effect(context, service, (before, version), table);
             Recorded::Done
         }
-        Ok(Commit::Conflict(_)) => Recorded::Unknown,
-        Err(error) if error.may_have_happened() => Recorded::Unknown,
+        Ok(CommitOutcome::Conflict(_)) => Recorded::Unknown,
+        Err(error) if error.is_outcome_unknown() => Recorded::Unknown,
         Err(_) => Recorded::Refused,
     }
 }
 
 /// Puts recorded owners in force on this instance, and keeps the difference for the others.
-fn took_effect(context: &Context, service: &Name, (before, version): (u64, u64), table: &Table) {
+fn took_effect(
+    context: &Context,
+    service: &Name,
+    (before, version): (u64, u64),
+    table: &AssignmentTable,
+) {
     let mut owners = context.owners.borrow_mut();
     let former = owners.get(service).filter(|it| it.version == before);
     let change = former.map(|former| Change {
         base: before,
-        pieces: table.changes(&former.table),
+        pieces: table.changes_since(&former.table),
         at: Instant::now(),
     });
     let next = Owners {
@@ -423,9 +456,9 @@
 /// Gives the leader's row up, and asks the strongest member to take it.
 async fn give_up(context: &Context, why: &str) {
     let one = context.writing.lock().await;
-    let version = context.lead.borrow().version();
+    let version = context.lead.borrow().row_version();
     // From here on no grant begins; those under way end before the row says when they have run out.
-    context.lead.borrow_mut().lose();
+    context.lead.borrow_mut().step_down();
     context.leading.set(None);
     let ends = Instant::now() + GRANTS_END;
     while context.leader_state.borrow().is_granting() && Instant::now() < ends {
@@ -446,8 +479,8 @@
     }
 }
 
-fn check(key: &str, version: u64) -> Check {
-    Check {
+fn check(key: &str, version: u64) -> VersionCheck {
+    VersionCheck {
         key: key.into(),
         version,
     }
@@ -456,12 +489,12 @@
 /// Returns the time of the store's clock after which none of this leader's grants is in force, if
 /// that is known.
 fn granted(context: &Context) -> Option<Duration> {
-    Some(context.present()?.store + keep::holds(context)?)
+    Some(context.present()?.latest + keep::holds(context)?)
 }
 
 /// Returns the leader's row as this instance writes it. One that gives it up says when none of its
 /// grants is in force any more, if it knows.
-fn seat(context: &Context, said: Mark, given_up: Option<Option<Duration>>) -> Put {
+fn seat(context: &Context, said: StoreTimestamp, given_up: Option<Option<Duration>>) -> RowWrite {
     let wire = WireSeat {
         name: context.settings.name.clone(),
         run: match given_up {
@@ -470,9 +503,9 @@
         },
         granted: given_up.flatten().map(|until| until.as_millis() as u64 + 1),
         heartbeats: context.settings.listen.heartbeats,
-        told: Some(said.store.as_millis() as u64),
+        told: Some(said.store_time.as_millis() as u64),
     };
-    Put {
+    RowWrite {
         key: SEAT_KEY.into(),
         // A struct of texts always has a JSON form.
         value: serde_json::to_vec(&wire).unwrap_or_default(),
--- a/crates/cowslipctl/src/configuration.rs
+++ b/crates/cowslipctl/src/configuration.rs
@@ -22,7 +22,11 @@
         cause,
     })?;
     let config = decode_configuration(&text, &name)?;
-    let causes: Vec<String> = config.skipped.iter().map(ToString::to_string).collect();
+    let causes: Vec<String> = config
+        .decode_errors
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     if !causes.is_empty() {
         let causes = causes.join("\n  ");
         return Err(Error::Failure(format!(
@@ -42,7 +46,9 @@
         || Error::MissingInput("settings: store: missing, expected an address".to_owned());
     let address = settings.store.ok_or_else(missing_store)?;
     let time_limit = Duration::from_millis(settings.timeout_ms);
-    let rows = Store::new(address).rows(OPERATOR_TABLE, time_limit).await;
+    let rows = Store::new(address)
+        .read_table(OPERATOR_TABLE, time_limit)
+        .await;
     let rows = rows.map_err(|error| Error::Unreachable(error.to_string()))?;
     let body = rows.rows.iter().find_map(configuration_body);
     let body = body.ok_or_else(|| Error::Failure("no configuration in the store".to_owned()))?;
@@ -57,7 +63,7 @@
         format_counts(&config)
     );
     for route in &config.routes {
-        let split = route.split.iter();
+        let split = route.traffic_split.iter();
         let split: Vec<String> = split
             .map(|(name, weight)| format!("{name}:{weight}"))
             .collect();
@@ -65,13 +71,13 @@
             "route {} {}{} rank {} timeout {} ms to {}\n",
             route.name,
             route.host,
-            route.prefix,
-            route.rank,
+            route.path_prefix,
+            route.priority,
             route.timeout.as_millis(),
             split.join(" "),
         );
     }
-    for error in &config.skipped {
+    for error in &config.decode_errors {
         text += &format!("skipped: {error}\n");
     }
     let mut json = summarize(&config);
@@ -84,14 +90,14 @@
 }
 
 fn configuration_body(row: &Row) -> Option<&[u8]> {
-    match OperatorRow::of(&row.key) {
+    match OperatorRow::from_key(&row.key) {
         OperatorRow::Config => row.value.as_deref(),
         _ => None,
     }
 }
 
 fn withdrawn_data_centre(row: &Row) -> Option<String> {
-    match OperatorRow::of(&row.key) {
+    match OperatorRow::from_key(&row.key) {
         OperatorRow::Withdrawn(data_centre) => row.value.as_ref().map(|_| data_centre),
         _ => None,
     }
@@ -104,7 +110,7 @@
 }
 
 fn summarize(config: &Config) -> Value {
-    let skipped = config.skipped.iter().map(ToString::to_string);
+    let skipped = config.decode_errors.iter().map(ToString::to_string);
     json!({
         "version": config.version,
         "routes": config.routes.len(),
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -2,8 +2,8 @@
 
 use {
     cowslip_adapter_standins::{
-        config::config,
-        store::{Mood, Store},
+        config::build_config,
+        store::{FakeStore, StoreMode},
     },
     cowslip_decide::names::Incarnation,
     cowslipcross::events::{self, About, Events, Origin},
@@ -66,7 +66,7 @@
 async fn check_rejects_configuration_with_invalid_parts() {
     let dir = TestDir::new("check");
     // Version 5 with a route to a service that does not exist.
-    let text = config("r5", "boards");
+    let text = build_config("r5", "boards");
     let good = dir.write("good.json", &text.replace("\"nowhere\"", "\"boards\""));
     let (code, out, error) = run(&["check", &good]).await;
     assert_eq!(code, 0, "{error}");
@@ -125,11 +125,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn show_prints_stored_configuration() {
-    let store = Store::start().await;
+    let store = FakeStore::start().await;
     let set = format!("--set=store={}", store.address());
     let (code, _, error) = run(&["show", &set]).await;
     assert!(code == 1 && error.contains("no configuration"), "{error}");
-    store.put("op", "config", config("r5", "boards").as_bytes());
+    store.put("op", "config", build_config("r5", "boards").as_bytes());
     store.put("op", "evacuate/east", b"{}");
     let (code, out, error) = run(&["show", &set]).await;
     assert_eq!(code, 0, "{error}");
@@ -148,7 +148,7 @@
         (&json["version"], &json["withdrawn"]),
         (&5.into(), &json!(["east"]))
     );
-    store.set_mood(Mood::Busy);
+    store.set_mode(StoreMode::Unavailable);
     let (code, _, error) = run(&["show", &set]).await;
     assert!(code == 4 && error.contains("store unreachable"), "{error}");
 }
--- /dev/null
+++ b/crates/decide/src/owners/state.rs
@@ -0,0 +1,225 @@
+//! Leader's state for one assignment: what its owner may have been granted, and what comes next.
+
+use {
+    super::{
+        manager::{Command, CommandOutcome, CommandTiming},
+        table::Assignment,
+    },
+    crate::names::{Fence, Name},
+    std::time::Duration,
+    tokio::time::Instant,
+};
+
+/// Factor by which the leader lengthens a grant's TTL: a target's clock may run up to 2% slow, so
+/// that the grant ends later; 3% are added.
+pub(super) const CLOCK_MARGIN: f64 = 1.03;
+
+/// Consecutive commands without an answer after which keys are revoked from their owner.
+pub(super) const MAX_UNANSWERED: u32 = 3;
+
+/// Consecutive commands without an answer after which the expiry of the owner's grant is recorded.
+///
+/// Without that record, the next leader has to assume that the keys were granted just before this
+/// one ended.
+const UNANSWERED_BEFORE_EXPIRY: u32 = 2;
+
+/// Shortest time until that expiry for which the record is worth a write to the store.
+const MIN_REMAINING_TO_RECORD: Duration = Duration::from_millis(1500);
+
+/// Most doublings of the retry delay after failed commands.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
+
+/// A recorded assignment and what may be in force at its owner.
+#[derive(Clone, Debug)]
+pub(super) struct AssignmentState {
+    pub assignment: Assignment,
+    /// Latest time at which the owner's grant expires; `None` if the keys never had an owner.
+    pub grant_end: Option<Instant>,
+    /// Latest time at which a late grant, one without an answer, expires.
+    pub late_end: Option<Instant>,
+    /// Highest fence of a late grant.
+    pub late_fence: Fence,
+    /// Time of the next command.
+    pub command_due: Instant,
+    /// Whether a command has been sent and has not ended.
+    pub in_flight: bool,
+    /// TTL of the last command if that was a grant, `None` for a release.
+    pub sent_ttl: Option<Duration>,
+    /// `Some` while the keys are being revoked, with the target that gets them if it is chosen.
+    pub revocation: Option<Option<Name>>,
+    /// Whether the keys wait for a new owner.
+    pub is_free: bool,
+    /// Handover value that the last owner returned with its release, for the next grant.
+    pub handover: Option<Name>,
+    /// Whether the owner has to get a higher fence with the next record.
+    pub needs_fence: bool,
+    /// Consecutive commands that were not sent or got no answer.
+    pub unanswered_count: u32,
+}
+
+impl AssignmentState {
+    pub fn new(assignment: Assignment, now: Instant) -> Self {
+        Self {
+            assignment,
+            grant_end: None,
+            late_end: None,
+            late_fence: Fence(0),
+            command_due: now,
+            in_flight: false,
+            sent_ttl: None,
+            revocation: None,
+            is_free: false,
+            handover: None,
+            needs_fence: false,
+            unanswered_count: 0,
+        }
+    }
+
+    /// Returns the state after `assignment`, a part of these keys, was recorded.
+    ///
+    /// A new fence for free keys means a new owner, of which nothing is known yet.
+    pub fn with_recorded(&self, assignment: Assignment, now: Instant) -> Self {
+        let changed = assignment.fence != self.assignment.fence;
+        if self.is_free && changed {
+            return Self {
+                handover: self.handover.clone(),
+                ..Self::new(assignment, now)
+            };
+        }
+        let mut next = Self {
+            assignment,
+            ..self.clone()
+        };
+        if changed {
+            next.needs_fence = false;
+            next.command_due = now;
+        }
+        next
+    }
+
+    /// Starts to revoke the keys, unless they are free or being revoked.
+    pub fn start_revocation(&mut self, to: Option<Name>, now: Instant) {
+        if self.revocation.is_some() || self.is_free {
+            return;
+        }
+        self.revocation = Some(to);
+        self.handover = None;
+        self.command_due = now;
+    }
+
+    /// Frees the keys because the owner's process has ended.
+    pub fn mark_owner_ended(&mut self, now: Instant) {
+        self.start_revocation(None, now);
+        self.mark_free(None);
+    }
+
+    fn mark_free(&mut self, handover: Option<Name>) {
+        if self.is_free {
+            return;
+        }
+        self.is_free = true;
+        self.needs_fence = false;
+        self.handover = handover;
+    }
+
+    /// Returns whether no command, revocation, record or handover is outstanding.
+    pub fn is_idle(&self) -> bool {
+        let is_pending =
+            self.in_flight || self.is_free || self.needs_fence || self.revocation.is_some();
+        !is_pending && self.assignment.owner.is_some() && self.handover.is_none()
+    }
+
+    /// Returns whether the owner has yet to accept the fence that makes it refuse late grants.
+    pub fn has_unaccepted_fence(&self) -> bool {
+        self.late_end.is_some() && self.assignment.fence > self.late_fence
+    }
+
+    /// Returns when the grant of an unreachable owner, from which the keys are being revoked, has
+    /// expired for sure; `None` if that is recorded already or not worth a record.
+    pub fn recordable_expiry(&self, now: Instant) -> Option<Instant> {
+        let is_unreachable =
+            self.revocation.is_some() && self.unanswered_count >= UNANSWERED_BEFORE_EXPIRY;
+        if !is_unreachable
+            || self.is_free
+            || self.in_flight
+            || self.has_unaccepted_fence()
+            || self.assignment.expires_at.is_some()
+        {
+            return None;
+        }
+        let expiry = self.grant_end.max(self.late_end)?;
+        (expiry > now + MIN_REMAINING_TO_RECORD).then_some(expiry)
+    }
+
+    /// Frees keys that are being revoked once no grant of them can be in force any more.
+    pub fn expire_grants(&mut self, now: Instant) {
+        if self.late_end.is_some_and(|late| late <= now) {
+            self.late_end = None;
+        }
+        let is_expired = self.grant_end.is_none_or(|until| until <= now) && self.late_end.is_none();
+        if self.revocation.is_some() && is_expired && !self.in_flight {
+            self.mark_free(None);
+        }
+    }
+
+    pub fn handle_outcome(
+        &mut self,
+        command: &Command,
+        outcome: &CommandOutcome,
+        timing: &CommandTiming,
+        times: (Instant, Instant),
+    ) {
+        let (sent, now) = times;
+        self.in_flight = false;
+        self.unanswered_count = match outcome {
+            CommandOutcome::Unsent | CommandOutcome::Unknown => self.unanswered_count + 1,
+            _ => 0,
+        };
+        if self.unanswered_count >= MAX_UNANSWERED {
+            self.start_revocation(None, now);
+        }
+        match (command, outcome) {
+            (Command::Grant { ttl, .. }, CommandOutcome::Accepted) => {
+                let expiry = now + ttl.mul_f64(CLOCK_MARGIN);
+                self.grant_end = self.grant_end.max(Some(expiry));
+                if self.assignment.fence > self.late_fence {
+                    self.late_end = None;
+                }
+                if self.revocation.is_none() {
+                    self.handover = None;
+                }
+                self.command_due = match self.revocation {
+                    Some(_) => now,
+                    None => sent + timing.renewal_interval,
+                };
+            }
+            (Command::Grant { ttl, .. }, CommandOutcome::Unknown) => {
+                let expiry = now + timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN);
+                self.grant_end = self.grant_end.max(Some(expiry));
+                self.late_end = self.late_end.max(Some(expiry));
+                self.late_fence = self.late_fence.max(self.assignment.fence);
+                self.command_due = now;
+            }
+            (Command::Grant { .. }, CommandOutcome::StaleFence) => {
+                self.needs_fence = true;
+                self.command_due = now;
+            }
+            (Command::Release { .. }, CommandOutcome::Released(handover)) => match self.late_end {
+                None => self.mark_free(handover.clone()),
+                Some(_) => {
+                    self.handover.clone_from(handover);
+                    self.needs_fence = true;
+                    self.command_due = now;
+                }
+            },
+            (_, CommandOutcome::TargetEnded) => self.mark_owner_ended(now),
+            _ => {
+                let doublings = self
+                    .unanswered_count
+                    .saturating_sub(1)
+                    .min(MAX_RETRY_DOUBLINGS);
+                self.command_due = now + timing.retry_delay * (1 << doublings);
+            }
+        }
+    }
+}
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -50,7 +50,7 @@
     data_type: DataType::Decimal,
     unit: "cores",
     default: Some("1"),
-    description: "CPU cores available to the instance; those with more are preferred as leader and pool coordinator.",
+    description: "CPU cores of the instance; more make it a likelier leader and pool coordinator.",
 };
 
 /// Settings of an instance of the router.
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -6,7 +6,7 @@
         field::{DataType, Field},
         overrides::Overrides,
     },
-    cowslip_adapter::text::duration,
+    cowslip_adapter::text::parse_duration,
     cowslip_decide::names::Name,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -162,7 +162,9 @@
     pub fn read_duration(&self, field: &Field) -> Result<Duration> {
         match self.find_nonempty(field) {
             Some(found) => found.read_duration(),
-            None => duration(self.default_text(field)?).map_err(|_| self.missing_field(field)),
+            None => {
+                parse_duration(self.default_text(field)?).map_err(|_| self.missing_field(field))
+            }
         }
     }
 
@@ -304,7 +306,7 @@
     /// Returns the duration.
     fn read_duration(&self) -> Result<Duration> {
         let text = self.value.get_ref().as_str();
-        let parsed = text.and_then(|text| duration(text).ok());
+        let parsed = text.and_then(|text| parse_duration(text).ok());
         parsed.ok_or_else(|| self.invalid_value(DataType::DurationText.to_string()))
     }
 
