--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -20,7 +20,7 @@
 const MIN_MOVED_SHARE: f64 = 0.08;
 /// Standard deviations by which a load must exceed the mean, so that chance alone moves no keys.
 const MIN_DEVIATIONS: f64 = 1.2;
-/// Assignments for each target from which on none is split.
+/// Assignments for each target from which on only whole ones are moved.
 const MAX_ASSIGNMENTS_PER_TARGET: usize = 6;
 /// The same limit for a large service, as a base and a number for each target: each assignment
 /// costs the leader a renewal.
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 pub struct TargetsByLoad {
     loads: BTreeMap<Name, (f64, f64)>,
-    /// Bits of the ratios: those of floats that are not negative sort like the floats.
+    /// Ratios as bits, which sort like the ratios because none is negative.
     order: BTreeSet<(u64, Name)>,
 }
 
@@ -335,7 +335,7 @@
     }
 }
 
-/// Returns the number of assignments up to which those of a service are split.
+/// Returns the number of a service's assignments from which on none is split for a transfer.
 fn max_assignments(targets: usize) -> usize {
     let (base, per_target) = LARGE_SERVICE_ASSIGNMENTS;
     (MAX_ASSIGNMENTS_PER_TARGET * targets).min(base + per_target * targets)
--- a/crates/decide/tests/owners.rs
+++ b/crates/decide/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Ownership of keys: no two targets hold one key, whatever is lost, late or slow.
+//! Ownership of keys: no two targets hold one key, even with lost, late or slow commands.
 
 mod owners_world;
 mod seeds;
@@ -12,7 +12,7 @@
             TargetsByLoad, rebalance,
         },
     },
-    owners_world::{TIMING, World},
+    owners_world::{Simulation, TIMING},
     std::{
         collections::{BTreeMap, BTreeSet},
         time::Duration,
@@ -20,7 +20,7 @@
     tokio::time::Instant,
 };
 
-fn life(id: &str) -> TargetIncarnation {
+fn target(id: &str) -> TargetIncarnation {
     TargetIncarnation {
         id: id.into(),
         incarnation: 1,
@@ -32,7 +32,7 @@
         assignments: vec![Assignment {
             first: 0,
             last: u16::MAX,
-            owner: Some(life(id)),
+            owner: Some(target(id)),
             fence: Fence(1),
             expires_at: None,
         }],
@@ -52,45 +52,45 @@
 }
 
 #[test]
-fn worlds_of_losses_never_give_a_key_to_two() {
+fn simulated_failures_never_give_a_key_two_owners() {
     for seed in 0..seeds::count(150) {
-        World::new(seed).play();
+        Simulation::new(seed).run();
     }
 }
 
 #[test]
 fn a_release_frees_keys_only_after_its_answer() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(
+    let mut leader = AssignmentManager::new(
         &AssignmentTable::default(),
         TIMING,
         PreviousLeaders::default(),
         now,
     );
-    keeper.review_owners(&candidates(&[("a", true)]), now);
-    let table = keeper
-        .propose_table(None, |_, _| Some(life("a")))
+    leader.review_owners(&candidates(&[("a", true)]), now);
+    let table = leader
+        .propose_table(None, |_, _| Some(target("a")))
         .expect("free keys");
-    keeper.apply_recorded(&table, now);
-    let grants = keeper.next_commands(false, now);
+    leader.apply_recorded(&table, now);
+    let grants = leader.next_commands(false, now);
     assert!(matches!(grants.as_slice(), [Command::Grant { .. }]));
-    keeper.handle_outcome(&grants[0], CommandOutcome::Accepted, now, now);
-    keeper.review_owners(&candidates(&[("a", false), ("b", true)]), now);
-    let releases = keeper.next_commands(false, now);
+    leader.handle_outcome(&grants[0], CommandOutcome::Accepted, now, now);
+    leader.review_owners(&candidates(&[("a", false), ("b", true)]), now);
+    let releases = leader.next_commands(false, now);
     assert!(matches!(releases.as_slice(), [Command::Release { .. }]));
-    assert!(!keeper.needs_recording(now));
-    keeper.handle_outcome(
+    assert!(!leader.needs_recording(now));
+    leader.handle_outcome(
         &releases[0],
         CommandOutcome::Released(Some("h".into())),
         now,
         now,
     );
-    assert!(keeper.needs_recording(now));
-    let table = keeper
-        .propose_table(None, |_, _| Some(life("b")))
+    assert!(leader.needs_recording(now));
+    let table = leader
+        .propose_table(None, |_, _| Some(target("b")))
         .expect("free keys");
-    keeper.apply_recorded(&table, now);
-    let grants = keeper.next_commands(false, now);
+    leader.apply_recorded(&table, now);
+    let grants = leader.next_commands(false, now);
     let Command::Grant {
         assignment,
         handover,
@@ -106,222 +106,221 @@
 }
 
 #[test]
-fn a_silent_owner_keeps_its_keys_until_its_hold_has_run_out() {
+fn an_unanswered_owner_keeps_its_keys_until_its_grant_expires() {
     let start = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
-    let none = candidates(&[("a", false), ("b", true)]);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
+    let no_owner = candidates(&[("a", false), ("b", true)]);
     let mut now = start;
     while now < start + TIMING.max_ttl {
-        keeper.review_owners(&none, now);
-        for order in keeper.next_commands(false, now) {
-            assert!(matches!(order, Command::Release { .. }), "{order:?}");
-            keeper.handle_outcome(&order, CommandOutcome::Unknown, now, now);
+        leader.review_owners(&no_owner, now);
+        for command in leader.next_commands(false, now) {
+            assert!(matches!(command, Command::Release { .. }), "{command:?}");
+            leader.handle_outcome(&command, CommandOutcome::Unknown, now, now);
         }
-        let table = keeper.propose_table(None, |_, _| Some(life("b")));
+        let table = leader.propose_table(None, |_, _| Some(target("b")));
         assert_eq!(table, None, "after {:?}", now - start);
         now += Duration::from_millis(100);
     }
     now = start + TIMING.max_ttl * 2;
-    keeper.next_commands(false, now);
-    assert!(keeper.needs_recording(now));
-    let table = keeper.propose_table(None, |_, _| Some(life("b")));
+    leader.next_commands(false, now);
+    assert!(leader.needs_recording(now));
+    let table = leader.propose_table(None, |_, _| Some(target("b")));
     assert_eq!(
         table.expect("free keys").assignments[0].owner,
-        Some(life("b"))
+        Some(target("b"))
     );
 }
 
 #[test]
-fn an_inherited_owner_takes_a_higher_fence_before_its_release_counts() {
-    // A grant of the former leader may still be on its way, and the owner would take it.
+fn after_a_leader_change_a_release_counts_only_under_a_higher_fence() {
+    // A grant of the previous leader may still be in flight, and the owner would accept it.
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
     let all = candidates(&[("a", false), ("b", true)]);
-    keeper.review_owners(&all, now);
-    let release = keeper.next_commands(false, now);
-    keeper.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
-    let table = keeper
+    leader.review_owners(&all, now);
+    let release = leader.next_commands(false, now);
+    leader.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
+    let table = leader
         .propose_table(None, |_, _| panic!("not free yet"))
         .expect("a higher fence");
-    assert_eq!(table.assignments[0].owner, Some(life("a")));
-    keeper.apply_recorded(&table, now);
-    let grant = keeper.next_commands(false, now);
+    assert_eq!(table.assignments[0].owner, Some(target("a")));
+    leader.apply_recorded(&table, now);
+    let grant = leader.next_commands(false, now);
     assert!(
         matches!(grant.as_slice(), [Command::Grant { .. }]),
         "{grant:?}"
     );
-    keeper.handle_outcome(&grant[0], CommandOutcome::Accepted, now, now);
-    let release = keeper.next_commands(false, now);
-    keeper.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
-    let table = keeper
-        .propose_table(None, |_, _| Some(life("b")))
+    leader.handle_outcome(&grant[0], CommandOutcome::Accepted, now, now);
+    let release = leader.next_commands(false, now);
+    leader.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
+    let table = leader
+        .propose_table(None, |_, _| Some(target("b")))
         .expect("free keys");
     assert_eq!(table.assignments[0].fence, Fence(3));
 }
 
 #[test]
-fn keys_of_a_target_whose_address_is_another_ones_are_free_at_once() {
+fn keys_are_free_at_once_if_another_target_answers_at_the_address() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
-    keeper.review_owners(&candidates(&[("a", true)]), now);
-    let grant = keeper.next_commands(false, now);
-    keeper.handle_outcome(&grant[0], CommandOutcome::TargetEnded, now, now);
-    assert!(keeper.needs_recording(now));
-    assert!(keeper.ended_incarnations().contains(&life("a")));
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
+    leader.review_owners(&candidates(&[("a", true)]), now);
+    let grant = leader.next_commands(false, now);
+    leader.handle_outcome(&grant[0], CommandOutcome::TargetEnded, now, now);
+    assert!(leader.needs_recording(now));
+    assert!(leader.ended_incarnations().contains(&target("a")));
 }
 
-/// An owner that nobody reaches must not cost its keys a whole hold at each change of the leader.
+/// Otherwise each change of the leader would block the keys for the longest TTL.
 #[test]
-fn the_end_of_a_lost_owners_hold_is_recorded_for_the_next_leader() {
+fn the_grant_expiry_of_an_unreachable_owner_is_recorded() {
     let start = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
     let all = candidates(&[("a", false), ("b", true)]);
     let mut now = start;
-    while !keeper.needs_recording(now) {
-        keeper.review_owners(&all, now);
-        for order in keeper.next_commands(false, now) {
-            keeper.handle_outcome(&order, CommandOutcome::Unsent, now, now);
+    while !leader.needs_recording(now) {
+        leader.review_owners(&all, now);
+        for command in leader.next_commands(false, now) {
+            leader.handle_outcome(&command, CommandOutcome::Unsent, now, now);
         }
         now += Duration::from_millis(50);
         assert!(now < start + Duration::from_secs(1), "no record");
     }
-    let store = |at: Instant| Duration::from_secs(500) + (at - start);
-    let present = StoreTimeBound {
+    let store_time = |at: Instant| Duration::from_secs(500) + (at - start);
+    let bound = StoreTimeBound {
         local: now,
-        latest: store(now),
+        latest: store_time(now),
     };
-    let none = |_: &Assignment, _: Option<&Name>| panic!("not free yet");
-    let table = keeper.propose_table(Some(present), none).expect("a record");
+    let no_owner = |_: &Assignment, _: Option<&Name>| panic!("not free yet");
+    let table = leader
+        .propose_table(Some(bound), no_owner)
+        .expect("a record");
     assert!(
         table.changes_since(&owned("a")).is_empty(),
         "owner and fence stay"
     );
-    keeper.apply_recorded(&table, now);
-    assert!(!keeper.needs_recording(now), "once is enough");
+    leader.apply_recorded(&table, now);
+    assert!(!leader.needs_recording(now), "once is enough");
 
-    // The target is back, but the next leader must not renew a hold that is recorded to end.
-    let former = |at: Instant| PreviousLeaders {
+    // The target is back, but the next leader must not renew a grant whose expiry is recorded.
+    let previous = |at: Instant| PreviousLeaders {
         grants_expire: None,
-        earliest_now: Some(store(at)),
+        earliest_now: Some(store_time(at)),
     };
     let back = candidates(&[("a", true), ("b", true)]);
     now = start + Duration::from_secs(5);
-    let mut second = AssignmentManager::new(&table, TIMING, former(now), now);
+    let mut second = AssignmentManager::new(&table, TIMING, previous(now), now);
     second.review_owners(&back, now);
-    let orders = second.next_commands(false, now);
+    let commands = second.next_commands(false, now);
     assert!(
-        matches!(orders.as_slice(), [Command::Release { .. }]),
-        "{orders:?}"
+        matches!(commands.as_slice(), [Command::Release { .. }]),
+        "{commands:?}"
     );
     assert!(!second.needs_recording(now));
 
-    // One that takes over later frees the keys at once.
+    // A leader elected after the expiry frees the keys at once.
     now = start + TIMING.max_ttl * 2;
-    let mut third = AssignmentManager::new(&table, TIMING, former(now), now);
+    let mut third = AssignmentManager::new(&table, TIMING, previous(now), now);
     third.review_owners(&all, now);
     third.next_commands(false, now);
     assert!(third.needs_recording(now));
     let table = third
-        .propose_table(None, |_, _| Some(life("b")))
+        .propose_table(None, |_, _| Some(target("b")))
         .expect("keys");
     let assignment = &table.assignments[0];
     assert_eq!(
         (&assignment.owner, assignment.fence, assignment.expires_at),
-        (&Some(life("b")), Fence(2), None)
+        (&Some(target("b")), Fence(2), None)
     );
 }
 
-/// Such an end must not be recorded while a grant may still prolong the hold.
+/// The grant in flight may still extend the time for which the owner holds the keys.
 #[test]
-fn no_end_is_recorded_while_a_grant_is_under_way() {
+fn no_expiry_is_recorded_while_a_grant_is_in_flight() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
     let later = |times: u32| now + Duration::from_millis(300) * times;
-    keeper.review_owners(&candidates(&[("a", true)]), now);
-    for times in 0..2 {
-        let grant = keeper.next_commands(false, later(times));
-        keeper.handle_outcome(
-            &grant[0],
-            CommandOutcome::Unsent,
-            later(times),
-            later(times),
-        );
+    leader.review_owners(&candidates(&[("a", true)]), now);
+    for step in 0..2 {
+        let grant = leader.next_commands(false, later(step));
+        leader.handle_outcome(&grant[0], CommandOutcome::Unsent, later(step), later(step));
     }
-    let grant = keeper.next_commands(false, later(3));
+    let grant = leader.next_commands(false, later(3));
     assert!(matches!(grant.as_slice(), [Command::Grant { .. }]));
-    keeper.review_owners(&candidates(&[("a", false)]), later(3));
-    assert!(!keeper.needs_recording(later(3)), "the grant is under way");
-    keeper.handle_outcome(&grant[0], CommandOutcome::Unsent, later(3), later(3));
-    assert!(keeper.needs_recording(later(4)));
+    leader.review_owners(&candidates(&[("a", false)]), later(3));
+    assert!(!leader.needs_recording(later(3)), "the grant is under way");
+    leader.handle_outcome(&grant[0], CommandOutcome::Unsent, later(3), later(3));
+    assert!(leader.needs_recording(later(4)));
 }
 
 #[test]
-fn no_end_is_recorded_while_the_owner_has_yet_to_take_a_higher_fence() {
+fn no_expiry_is_recorded_before_the_owner_accepts_a_higher_fence() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
-    keeper.review_owners(&candidates(&[("a", false)]), now);
-    let release = keeper.next_commands(false, now);
-    keeper.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
-    let table = keeper
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
+    leader.review_owners(&candidates(&[("a", false)]), now);
+    let release = leader.next_commands(false, now);
+    leader.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
+    let table = leader
         .propose_table(None, |_, _| None)
         .expect("a higher fence");
-    keeper.apply_recorded(&table, now);
+    leader.apply_recorded(&table, now);
     for times in 0..4 {
         let at = now + Duration::from_secs(1) * times;
-        for order in keeper.next_commands(false, at) {
-            assert!(matches!(order, Command::Grant { .. }), "{order:?}");
-            keeper.handle_outcome(&order, CommandOutcome::Unsent, at, at);
+        for command in leader.next_commands(false, at) {
+            assert!(matches!(command, Command::Grant { .. }), "{command:?}");
+            leader.handle_outcome(&command, CommandOutcome::Unsent, at, at);
         }
-        assert!(!keeper.needs_recording(at), "after {times} s");
+        assert!(!leader.needs_recording(at), "after {times} s");
     }
 }
 
-/// A target's clock that runs 2% slow ends its hold that much later.
+/// On a target's clock that runs 2% slow, a grant expires 2% later.
 #[test]
-fn keys_are_not_free_before_the_slowest_clock_has_ended_the_hold() {
+fn keys_are_not_free_before_the_grant_expires_on_a_slow_clock() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
     let start = now + TIMING.max_ttl * 2;
-    keeper.review_owners(&candidates(&[("a", true)]), start);
-    for order in keeper.next_commands(false, start) {
-        keeper.handle_outcome(&order, CommandOutcome::Accepted, start, start);
+    leader.review_owners(&candidates(&[("a", true)]), start);
+    for command in leader.next_commands(false, start) {
+        leader.handle_outcome(&command, CommandOutcome::Accepted, start, start);
     }
-    keeper.review_owners(&candidates(&[("a", false)]), start);
-    let free_at = |keeper: &mut AssignmentManager, at: Instant| {
-        for order in keeper.next_commands(false, at) {
-            keeper.handle_outcome(&order, CommandOutcome::Unsent, at, at);
+    leader.review_owners(&candidates(&[("a", false)]), start);
+    let free_at = |leader: &mut AssignmentManager, at: Instant| {
+        for command in leader.next_commands(false, at) {
+            leader.handle_outcome(&command, CommandOutcome::Unsent, at, at);
         }
-        keeper.next_commands(false, at);
-        keeper.propose_table(None, |_, _| Some(life("b"))).is_some()
+        leader.next_commands(false, at);
+        leader
+            .propose_table(None, |_, _| Some(target("b")))
+            .is_some()
     };
-    assert!(!free_at(&mut keeper, start));
+    assert!(!free_at(&mut leader, start));
     let end = start + TIMING.ttl.mul_f64(1.02);
-    assert!(!free_at(&mut keeper, end));
-    assert!(free_at(&mut keeper, end + Duration::from_secs(1)));
+    assert!(!free_at(&mut leader, end));
+    assert!(free_at(&mut leader, end + Duration::from_secs(1)));
 }
 
 #[test]
-fn orders_that_fail_again_and_again_are_sent_less_often() {
+fn commands_that_keep_failing_are_retried_less_often() {
     let start = Instant::now();
-    let mut keeper = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
+    let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
     let all = candidates(&[("a", false), ("b", true)]);
     let mut sent = 0;
     for step in 0..100 {
         let now = start + Duration::from_millis(50) * step;
-        keeper.review_owners(&all, now);
-        for order in keeper.next_commands(false, now) {
+        leader.review_owners(&all, now);
+        for command in leader.next_commands(false, now) {
             sent += 1;
-            keeper.handle_outcome(&order, CommandOutcome::Unsent, now, now);
+            leader.handle_outcome(&command, CommandOutcome::Unsent, now, now);
         }
     }
-    assert!((4..=8).contains(&sent), "{sent} orders in 5 s");
+    assert!((4..=8).contains(&sent), "{sent} commands in 5 s");
 }
 
 #[test]
-fn changes_put_an_earlier_table_right() {
+fn changes_bring_an_earlier_table_up_to_date() {
     let mut later = owned("a");
     later.split_around(100, 200);
-    later.assignments[1].owner = Some(life("b"));
+    later.assignments[1].owner = Some(target("b"));
     later.assignments[1].fence = later.advance_fence();
     let mut earlier = owned("a");
     earlier.apply_changes(&later.changes_since(&earlier));
@@ -330,7 +329,7 @@
 }
 
 #[test]
-fn a_hot_range_is_divided_among_targets_within_a_few_rounds() {
+fn a_hot_range_is_spread_over_targets_within_a_few_rounds() {
     let names: Vec<Name> = (0..10).map(|at| Name::from(format!("t{at}"))).collect();
     let capacity: TargetCapacities = names.iter().map(|name| (name.clone(), 1.0)).collect();
     let mut table = AssignmentTable::default();
@@ -338,7 +337,7 @@
         table.split_around(at * 6553, u16::MAX);
     }
     for (assignment, name) in table.assignments.iter_mut().zip(&names) {
-        assignment.owner = Some(life(name));
+        assignment.owner = Some(target(name));
     }
     let mut loads = KeyLoads::default();
     for key in 0..u16::MAX / 64 {
@@ -352,7 +351,7 @@
             table.split_around(transfer.first, transfer.last);
             for assignment in &mut table.assignments {
                 if transfer.first <= assignment.first && assignment.last <= transfer.last {
-                    assignment.owner = Some(life(&transfer.new_owner));
+                    assignment.owner = Some(target(&transfer.new_owner));
                 }
             }
         }
@@ -361,8 +360,8 @@
         let own = table
             .assignments
             .iter()
-            .filter(|it| it.owner == Some(life(name)));
-        own.map(|assignment| loads.range_load(assignment.first, assignment.last))
+            .filter(|it| it.owner == Some(target(name)));
+        own.map(|range| loads.range_load(range.first, range.last))
             .sum()
     };
     let most = names.iter().map(load).fold(0.0, f64::max);
@@ -370,50 +369,46 @@
     assert!(most < 1.6 * mean, "most {most}, mean {mean}");
 }
 
-/// A record whose answer is late must not take keys from their owner that were cut off meanwhile.
+/// A late answer to a record must not free keys that were split from released ones meanwhile.
 #[test]
-fn a_late_record_frees_only_what_was_released() {
+fn a_late_answer_to_a_record_frees_only_released_keys() {
     let now = Instant::now();
-    let mut keeper = AssignmentManager::new(
-        &divided(&["a", "b"]),
-        TIMING,
-        PreviousLeaders::default(),
-        now,
-    );
+    let mut leader =
+        AssignmentManager::new(&split(&["a", "b"]), TIMING, PreviousLeaders::default(), now);
     let later = now + Duration::from_secs(20);
-    let held = |keeper: &mut AssignmentManager| {
-        for order in keeper.next_commands(false, later) {
-            keeper.handle_outcome(&order, CommandOutcome::Accepted, later, later);
+    let accept_all = |leader: &mut AssignmentManager| {
+        for command in leader.next_commands(false, later) {
+            leader.handle_outcome(&command, CommandOutcome::Accepted, later, later);
         }
     };
-    held(&mut keeper);
-    // Keys of b wait for their record; its answer is lost.
-    keeper.start_transfer(60_000, 60_009, &"a".into(), later);
-    for order in keeper.next_commands(false, later) {
-        keeper.handle_outcome(&order, CommandOutcome::Released(None), later, later);
+    accept_all(&mut leader);
+    // The write that records a new owner for keys of b gets no answer.
+    leader.start_transfer(60_000, 60_009, &"a".into(), later);
+    for command in leader.next_commands(false, later) {
+        leader.handle_outcome(&command, CommandOutcome::Released(None), later, later);
     }
-    let pending = keeper
-        .propose_table(None, |_, _| Some(life("a")))
+    let pending = leader
+        .propose_table(None, |_, _| Some(target("a")))
         .expect("a record");
-    // Meanwhile a releases a part of its piece.
-    keeper.start_transfer(0, 99, &"b".into(), later);
-    for order in keeper.next_commands(false, later) {
-        assert!(matches!(order, Command::Release { .. }), "{order:?}");
-        keeper.handle_outcome(&order, CommandOutcome::Released(None), later, later);
+    // Meanwhile a releases a part of its assignment.
+    leader.start_transfer(0, 99, &"b".into(), later);
+    for command in leader.next_commands(false, later) {
+        assert!(matches!(command, Command::Release { .. }), "{command:?}");
+        leader.handle_outcome(&command, CommandOutcome::Released(None), later, later);
     }
-    keeper.apply_recorded(&pending, later);
-    let next = keeper
-        .propose_table(None, |_, _| Some(life("b")))
+    leader.apply_recorded(&pending, later);
+    let next = leader
+        .propose_table(None, |_, _| Some(target("b")))
         .expect("a record");
-    assert_eq!(next.assignment(50).owner, Some(life("b")));
+    assert_eq!(next.assignment(50).owner, Some(target("b")));
     for key in [100, 20_000, 32_767] {
-        assert_eq!(next.assignment(key).owner, Some(life("a")), "key {key}");
+        assert_eq!(next.assignment(key).owner, Some(target("a")), "key {key}");
     }
-    assert_eq!(next.assignment(60_005).owner, Some(life("a")));
+    assert_eq!(next.assignment(60_005).owner, Some(target("a")));
 }
 
-/// Returns a table of equal pieces, one for each target.
-fn divided(names: &[&str]) -> AssignmentTable {
+/// Returns a table of equal assignments, one for each target.
+fn split(names: &[&str]) -> AssignmentTable {
     let size = 65_536 / names.len() as u32;
     let assignments = names.iter().zip(0u32..).map(|(name, at)| Assignment {
         first: (at * size) as u16,
@@ -421,7 +416,7 @@
             true => u16::MAX,
             false => ((at + 1) * size - 1) as u16,
         },
-        owner: Some(life(name)),
+        owner: Some(target(name)),
         fence: Fence(u64::from(at) + 1),
         expires_at: None,
     });
@@ -431,11 +426,11 @@
     }
 }
 
-fn even(names: &[&str]) -> TargetCapacities {
+fn uniform(names: &[&str]) -> TargetCapacities {
     names.iter().map(|name| (Name::from(*name), 1.0)).collect()
 }
 
-/// A single key that cannot be divided must not keep other targets overloaded.
+/// A hot key, which cannot be split, must not stop the rebalancing of other targets.
 #[test]
 fn a_hot_key_does_not_keep_other_loads_uneven() {
     let names = ["a", "b", "c", "d"];
@@ -444,7 +439,7 @@
     for key in (16_384..32_768).step_by(100) {
         loads.add_requests(key as u16, 1.0);
     }
-    let transfers = rebalance(&divided(&names), &loads, &even(&names), 6, |_| false);
+    let transfers = rebalance(&split(&names), &loads, &uniform(&names), 6, |_| false);
     assert!(
         transfers.iter().any(|it| it.first >= 16_384),
         "{transfers:?}"
@@ -452,16 +447,16 @@
 }
 
 #[test]
-fn targets_without_a_key_get_some_also_without_traffic() {
+fn targets_without_keys_get_some_even_without_traffic() {
     let names = ["a", "b", "c", "d"];
-    let table = divided(&names[..2]);
-    let transfers = rebalance(&table, &KeyLoads::default(), &even(&names), 6, |_| false);
+    let table = split(&names[..2]);
+    let transfers = rebalance(&table, &KeyLoads::default(), &uniform(&names), 6, |_| false);
     for empty in &names[2..] {
         let keys = transfers.iter().filter(|it| &*it.new_owner == *empty);
         let keys: u32 = keys.map(|it| u32::from(it.last - it.first) + 1).sum();
         assert!(keys > 10_000, "{empty}: {transfers:?}");
     }
-    // Nothing is moved twice.
+    // No key is moved twice.
     for (at, one) in transfers.iter().enumerate() {
         let others = &transfers[at + 1..];
         assert!(
@@ -472,7 +467,7 @@
     }
 }
 
-/// A leader of a large deployment gives all keys out in steps that it can bear.
+/// In a large deployment, the leader sends its grants in batches.
 #[test]
 fn thousands_of_targets_get_their_keys() {
     let now = Instant::now();
@@ -480,61 +475,61 @@
     let targets: Vec<(&str, bool)> = names.iter().map(|it| (it.as_str(), true)).collect();
     let (all, capacity) = (
         candidates(&targets),
-        even(&targets.iter().map(|it| it.0).collect::<Vec<_>>()),
+        uniform(&targets.iter().map(|it| it.0).collect::<Vec<_>>()),
     );
-    let mut keeper = AssignmentManager::new(
+    let mut leader = AssignmentManager::new(
         &AssignmentTable::default(),
         TIMING,
         PreviousLeaders::default(),
         now,
     );
-    keeper.review_owners(&all, now);
-    keeper.split_evenly(3000);
+    leader.review_owners(&all, now);
+    leader.split_evenly(3000);
     assert!(
-        rebalance(&keeper.table(), &KeyLoads::default(), &capacity, 6, |_| {
+        rebalance(&leader.table(), &KeyLoads::default(), &capacity, 6, |_| {
             false
         })
         .is_empty()
     );
     let mut least = TargetsByLoad::new(capacity.iter(), &BTreeMap::new());
-    let place = |assignment: &Assignment, _: Option<&Name>| {
+    let choose_owner = |assignment: &Assignment, _: Option<&Name>| {
         let name = least.least_loaded().cloned()?;
         least.add_load(&name, f64::from(assignment.len()));
-        Some(life(&name))
+        Some(target(&name))
     };
-    let table = keeper.propose_table(None, place).expect("free keys");
+    let table = leader.propose_table(None, choose_owner).expect("free keys");
     let owners: BTreeSet<&TargetIncarnation> = table
         .assignments
         .iter()
         .filter_map(|it| it.owner.as_ref())
         .collect();
     assert_eq!(owners.len(), 3000);
-    keeper.apply_recorded(&table, now);
+    leader.apply_recorded(&table, now);
     let mut granted = 0;
     loop {
-        let orders = keeper.next_commands(false, now);
-        if orders.is_empty() {
+        let commands = leader.next_commands(false, now);
+        if commands.is_empty() {
             break;
         }
-        assert!(orders.len() <= 200, "{} at a time", orders.len());
-        for order in &orders {
-            let Command::Grant { ttl, .. } = order else {
-                panic!("{order:?}");
+        assert!(commands.len() <= 200, "{} at a time", commands.len());
+        for command in &commands {
+            let Command::Grant { ttl, .. } = command else {
+                panic!("{command:?}");
             };
             assert!(*ttl <= TIMING.max_ttl);
-            keeper.handle_outcome(order, CommandOutcome::Accepted, now, now);
+            leader.handle_outcome(command, CommandOutcome::Accepted, now, now);
         }
-        granted += orders.len();
+        granted += commands.len();
     }
     assert_eq!(granted, 3000);
-    // Renewals are due before the holds end, and not all the time.
+    // Renewals are due before the grants expire, but not all the time.
     assert!(
-        keeper
+        leader
             .next_commands(false, now + Duration::from_secs(2))
             .is_empty()
     );
     assert!(
-        !keeper
+        !leader
             .next_commands(false, now + Duration::from_secs(6))
             .is_empty()
     );
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -1,4 +1,4 @@
-//! A world of targets with clocks of their own, lost and late orders, and leaders that change.
+//! Simulation of targets with slow clocks, lost and late commands, and changes of the leader.
 
 use {
     cowslip_decide::{
@@ -13,7 +13,7 @@
     tokio::time::Instant,
 };
 
-/// Periods and bounds as the program has them.
+/// Timing that the program uses by default.
 pub const TIMING: CommandTiming = CommandTiming {
     ttl: Duration::from_millis(3200),
     long_ttl: Duration::from_secs(10),
@@ -24,20 +24,20 @@
     delivery_limit: Duration::from_millis(800),
 };
 
-const TICK: Duration = Duration::from_millis(10);
+const TICK_LENGTH: Duration = Duration::from_millis(10);
 /// Time after which a grant counts as unanswered.
-const LIMIT: Duration = Duration::from_millis(500);
-/// Time of the store's clock at the beginning.
-const STORE: Duration = Duration::from_secs(1000);
-/// Error of what a leader knows of that clock.
-const TOLD: Duration = Duration::from_millis(2);
-const TROUBLE: u32 = 4000;
-const CALM: u32 = 2500;
-const TARGETS: usize = 6;
+const MAX_WAIT: Duration = Duration::from_millis(500);
+/// Time of the store's clock at the start.
+const STORE_START: Duration = Duration::from_secs(1000);
+/// Error of a leader's estimate of the store's clock.
+const STORE_CLOCK_ERROR: Duration = Duration::from_millis(2);
+const FAULT_TICKS: u32 = 4000;
+const HEALTHY_TICKS: u32 = 2500;
+const TARGET_COUNT: usize = 6;
 
-/// A range that a target holds.
+/// A grant that a target has accepted.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldGrant {
     first: u16,
     last: u16,
     fence: Fence,
@@ -51,75 +51,75 @@
     can_own: bool,
     listed: bool,
     reachable: bool,
-    slow: f64,
-    held: Vec<Held>,
-    /// Highest fence seen, by range.
-    seen: Vec<(u16, u16, Fence)>,
+    clock_factor: f64,
+    held: Vec<HeldGrant>,
+    /// Fences of accepted grants with their first and last key.
+    seen_fences: Vec<(u16, u16, Fence)>,
 }
 
-/// An order on its way, or waiting for its end.
-struct Flight {
-    order: Command,
+/// A command that has not arrived or whose outcome the leader does not know yet.
+struct SentCommand {
+    command: Command,
     sent: Instant,
     target: usize,
-    /// Run of the target that it was sent to.
+    /// Incarnation of the target to which the command was sent.
     incarnation: u64,
-    arrive: Instant,
-    apply: Option<Instant>,
-    answer: Option<Instant>,
-    /// Time as leader in which it was sent.
-    reign: u32,
-    result: Option<CommandOutcome>,
+    arrives_at: Instant,
+    applied_at: Option<Instant>,
+    answered_at: Option<Instant>,
+    /// Leader that sent the command; 0 once that leader needs no outcome any more.
+    epoch: u32,
+    outcome: Option<CommandOutcome>,
 }
 
-impl Flight {
+impl SentCommand {
     fn is_grant(&self) -> bool {
-        matches!(self.order, Command::Grant { .. })
+        matches!(self.command, Command::Grant { .. })
     }
 }
 
-/// The world.
-pub struct World {
+/// Targets, a store and at most one leader, in simulated time.
+pub struct Simulation {
     seed: u64,
     rng: StdRng,
     start: Instant,
     now: Instant,
     targets: Vec<Target>,
     table: AssignmentTable,
-    keeper: Option<AssignmentManager>,
-    reign: u32,
-    vacant: u32,
-    /// End of all grants, if the last leader said so as it gave its part up.
-    given_up: Option<Instant>,
-    calm: bool,
-    flights: Vec<Flight>,
-    /// A record whose answer was lost: when the leader learns its end.
-    pending: Option<Pending>,
+    leader: Option<AssignmentManager>,
+    epoch: u32,
+    leaderless_ticks: u32,
+    /// Expiry of the last leader's grants, if it resigned; `None` if it crashed.
+    grants_end: Option<Instant>,
+    is_healed: bool,
+    commands: Vec<SentCommand>,
+    /// Write to the store without an answer.
+    pending_record: Option<PendingRecord>,
 }
 
-/// A record without an answer.
-struct Pending {
+/// A write to the store, of which the leader learns at `due` whether it took effect.
+struct PendingRecord {
     table: AssignmentTable,
     written: bool,
     due: Instant,
 }
 
-impl World {
-    /// Creates a world of which `seed` decides everything.
+impl Simulation {
+    /// Creates a simulation whose random choices all derive from `seed`.
     pub fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
-        let target = |slow| Target {
+        let target = |clock_factor| Target {
             incarnation: 1,
             up: true,
             can_own: true,
             listed: true,
             reachable: true,
-            slow,
+            clock_factor,
             held: Vec::new(),
-            seen: Vec::new(),
+            seen_fences: Vec::new(),
         };
-        let targets = (0..TARGETS).map(|_| target(rng.random_range(1.0..1.02)));
+        let targets = (0..TARGET_COUNT).map(|_| target(rng.random_range(1.0..1.02)));
         let targets = targets.collect();
         Self {
             seed,
@@ -128,68 +128,67 @@
             now,
             targets,
             table: AssignmentTable::default(),
-            keeper: None,
-            reign: 0,
-            vacant: 1,
-            given_up: None,
-            calm: false,
-            flights: Vec::new(),
-            pending: None,
+            leader: None,
+            epoch: 0,
+            leaderless_ticks: 1,
+            grants_end: None,
+            is_healed: false,
+            commands: Vec::new(),
+            pending_record: None,
         }
     }
 
-    /// Plays troubles, then calm; checks every tick that no key is held by two.
-    pub fn play(&mut self) {
-        for tick in 0..TROUBLE + CALM {
-            self.now += TICK;
-            if tick < TROUBLE {
-                self.trouble();
-            } else if tick == TROUBLE {
-                self.heal();
+    /// Runs a phase with faults, then one without, and checks the holders of keys throughout.
+    pub fn run(&mut self) {
+        for tick in 0..FAULT_TICKS + HEALTHY_TICKS {
+            self.now += TICK_LENGTH;
+            if tick < FAULT_TICKS {
+                self.inject_fault();
+            } else if tick == FAULT_TICKS {
+                self.end_faults();
             }
-            self.land();
-            self.lead();
-            self.check();
+            self.deliver_commands();
+            self.run_leader();
+            self.check_single_owner();
         }
-        self.check_served();
+        self.check_all_granted();
     }
 
-    fn trouble(&mut self) {
-        let at = self.rng.random_range(0..TARGETS);
-        let target = &mut self.targets[at];
+    fn inject_fault(&mut self) {
+        let index = self.rng.random_range(0..TARGET_COUNT);
+        let target = &mut self.targets[index];
         match self.rng.random_range(0..1500) {
             0 => target.can_own = !target.can_own,
             1 => target.reachable = !target.reachable,
             2 => target.listed = !target.listed,
             3 => {
-                // It ends and starts again under its id; it knows nothing of before.
+                // The target restarts under its id and has lost its state.
                 target.incarnation += 1;
                 target.held.clear();
-                target.seen.clear();
+                target.seen_fences.clear();
             }
             4 => {
-                self.keeper = None;
-                self.given_up = None;
-                self.vacant = self.rng.random_range(1..400);
+                self.leader = None;
+                self.grants_end = None;
+                self.leaderless_ticks = self.rng.random_range(1..400);
             }
             5 => {
-                // It gives its part up. Orders that it has sent are on their way.
-                let keeper = self.keeper.take();
-                self.given_up =
-                    keeper.map(|keeper| self.now + keeper.remaining_grant_time(self.now));
-                self.vacant = self.rng.random_range(1..400);
+                // The leader resigns while its commands are in flight.
+                let leader = self.leader.take();
+                self.grants_end = leader.map(|it| self.now + it.remaining_grant_time(self.now));
+                self.leaderless_ticks = self.rng.random_range(1..400);
             }
             _ => {}
         }
     }
 
-    /// Returns the time of the store's clock at a moment.
-    fn store(&self, at: Instant) -> Duration {
-        STORE + (at - self.start)
+    /// Returns the time of the store's clock at a local time.
+    fn store_time(&self, moment: Instant) -> Duration {
+        STORE_START + (moment - self.start)
     }
 
-    fn heal(&mut self) {
-        self.calm = true;
+    fn end_faults(&mut self) {
+        self.is_healed = true;
         for target in &mut self.targets {
             target.can_own = true;
             target.listed = true;
@@ -198,202 +197,195 @@
         }
     }
 
-    /// Acts as leader, if there is one.
-    fn lead(&mut self) {
-        let Some(mut keeper) = self.keeper.take() else {
-            self.vacant = self.vacant.saturating_sub(1);
-            if self.vacant == 0 {
-                self.reign += 1;
-                self.pending = None;
-                let former = PreviousLeaders {
-                    grants_expire: self.given_up.take().map(|until| self.store(until)),
-                    earliest_now: Some(self.store(self.now) - TOLD),
+    /// Lets the leader act, or elects a new one after a while without a leader.
+    fn run_leader(&mut self) {
+        let Some(mut leader) = self.leader.take() else {
+            self.leaderless_ticks = self.leaderless_ticks.saturating_sub(1);
+            if self.leaderless_ticks == 0 {
+                self.epoch += 1;
+                self.pending_record = None;
+                let past = PreviousLeaders {
+                    grants_expire: self.grants_end.take().map(|until| self.store_time(until)),
+                    earliest_now: Some(self.store_time(self.now) - STORE_CLOCK_ERROR),
                 };
-                self.keeper = Some(AssignmentManager::new(
-                    &self.table,
-                    TIMING,
-                    former,
-                    self.now,
-                ));
+                self.leader = Some(AssignmentManager::new(&self.table, TIMING, past, self.now));
             }
             return;
         };
         let listed = self.targets.iter().enumerate().filter(|(_, it)| it.listed);
-        let all: BTreeMap<Name, Candidate> = listed
-            .map(|(at, target)| {
+        let candidates: BTreeMap<Name, Candidate> = listed
+            .map(|(index, target)| {
                 let candidate = Candidate {
                     incarnation: target.incarnation,
                     can_own: target.can_own,
                 };
-                (name(at), candidate)
+                (target_name(index), candidate)
             })
             .collect();
-        keeper.review_owners(&all, self.now);
-        keeper.split_evenly(TARGETS as u32);
-        if !self.calm && self.rng.random_bool(0.01) {
+        leader.review_owners(&candidates, self.now);
+        leader.split_evenly(TARGET_COUNT as u32);
+        if !self.is_healed && self.rng.random_bool(0.01) {
             let first: u16 = self.rng.random_range(0..65_000);
-            let to = name(self.rng.random_range(0..TARGETS));
-            keeper.start_transfer(first, first + 5, &to, self.now);
+            let new_owner = target_name(self.rng.random_range(0..TARGET_COUNT));
+            leader.start_transfer(first, first + 5, &new_owner, self.now);
         }
-        self.record(&mut keeper, &all);
-        for order in keeper.next_commands(false, self.now) {
-            self.send(order);
+        self.propose(&mut leader, &candidates);
+        for command in leader.next_commands(false, self.now) {
+            self.send_command(command);
         }
-        self.keeper = Some(keeper);
+        self.leader = Some(leader);
     }
 
-    fn record(&mut self, keeper: &mut AssignmentManager, all: &BTreeMap<Name, Candidate>) {
-        if self.is_pending(keeper) || !keeper.needs_recording(self.now) {
+    fn propose(&mut self, leader: &mut AssignmentManager, candidates: &BTreeMap<Name, Candidate>) {
+        if self.is_record_pending(leader) || !leader.needs_recording(self.now) {
             return;
         }
-        let ended = keeper.ended_incarnations().clone();
-        let open: Vec<TargetIncarnation> = all
+        let ended = leader.ended_incarnations().clone();
+        let usable: Vec<TargetIncarnation> = candidates
             .iter()
             .filter(|(_, it)| it.can_own)
             .map(|(id, it)| TargetIncarnation {
                 id: id.clone(),
                 incarnation: it.incarnation,
             })
-            .filter(|life| !ended.contains(life))
+            .filter(|target| !ended.contains(target))
             .collect();
-        let present = StoreTimeBound {
+        let bound = StoreTimeBound {
             local: self.now,
-            latest: self.store(self.now) + TOLD,
+            latest: self.store_time(self.now) + STORE_CLOCK_ERROR,
         };
         let rng = &mut self.rng;
-        let table = keeper.propose_table(Some(present), |_, wish| {
-            let wished = open.iter().find(|it| Some(&it.id) == wish);
-            wished
-                .or_else(|| open.get(rng.random_range(0..open.len().max(1))))
+        let table = leader.propose_table(Some(bound), |_, wanted| {
+            let found = usable.iter().find(|it| Some(&it.id) == wanted);
+            found
+                .or_else(|| usable.get(rng.random_range(0..usable.len().max(1))))
                 .cloned()
         });
         let Some(table) = table else { return };
         assert!(table.is_complete(), "seed {}: {table:?}", self.seed);
         self.check_fences(&table);
-        if !self.calm && self.rng.random_bool(0.1) {
-            // The store refused the write.
+        if !self.is_healed && self.rng.random_bool(0.1) {
+            // The store rejected the write.
             return;
         }
-        if !self.calm && self.rng.random_bool(0.1) {
+        if !self.is_healed && self.rng.random_bool(0.1) {
             let written = self.rng.random_bool(0.5);
             if written {
                 self.table = table.clone();
             }
             let due = self.now + Duration::from_millis(self.rng.random_range(100..3000));
-            self.pending = Some(Pending {
+            self.pending_record = Some(PendingRecord {
                 table,
                 written,
                 due,
             });
             return;
         }
-        keeper.apply_recorded(&table, self.now);
+        leader.apply_recorded(&table, self.now);
         self.table = table;
     }
 
-    /// Lets the leader learn the end of a record without an answer; returns whether it waits.
-    fn is_pending(&mut self, keeper: &mut AssignmentManager) -> bool {
-        let Some(pending) = self.pending.take() else {
+    /// Returns whether a write is pending; once it is due, tells the leader whether it took effect.
+    fn is_record_pending(&mut self, leader: &mut AssignmentManager) -> bool {
+        let Some(pending) = self.pending_record.take() else {
             return false;
         };
         if self.now < pending.due {
-            self.pending = Some(pending);
+            self.pending_record = Some(pending);
             return true;
         }
         if pending.written {
-            keeper.apply_recorded(&pending.table, self.now);
+            leader.apply_recorded(&pending.table, self.now);
         }
         false
     }
 
-    fn send(&mut self, order: Command) {
-        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = &order;
-        let owner = assignment.owner.clone().expect("orders have an owner");
-        let at = index(&owner.id);
-        let unlucky = !self.calm && self.rng.random_bool(0.05);
-        let lost = !self.targets[at].reachable || unlucky;
-        let grant = matches!(order, Command::Grant { .. });
-        let late = grant && !self.calm && self.rng.random_bool(0.05);
-        // An instance without processor time sends after its limit.
-        let slow = grant && !self.calm && self.rng.random_bool(0.05);
-        let way = if slow { 200..780 } else { 1..200 };
-        let arrive = self.now + Duration::from_millis(self.rng.random_range(way));
+    fn send_command(&mut self, command: Command) {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = &command;
+        let owner = assignment.owner.clone().expect("commands have an owner");
+        let index = target_index(&owner.id);
+        let is_dropped = !self.is_healed && self.rng.random_bool(0.05);
+        let is_lost = !self.targets[index].reachable || is_dropped;
+        let is_grant = matches!(command, Command::Grant { .. });
+        let is_late = is_grant && !self.is_healed && self.rng.random_bool(0.05);
+        // An instance that gets no processor time sends late, in spite of its time-out.
+        let is_slow = is_grant && !self.is_healed && self.rng.random_bool(0.05);
+        let delay_range = if is_slow { 200..780 } else { 1..200 };
+        let arrives_at = self.now + Duration::from_millis(self.rng.random_range(delay_range));
         let delay = Duration::from_millis(self.rng.random_range(500..9000));
-        let work = match order {
+        let work = match command {
             Command::Grant { .. } => Duration::from_millis(1),
             Command::Release { .. } => Duration::from_millis(self.rng.random_range(1..300)),
         };
-        let (apply, answer) = match (lost, late) {
+        let (applied_at, answered_at) = match (is_lost, is_late) {
             (true, _) => (None, None),
-            (_, true) => (Some(arrive + delay), None),
-            _ => (Some(arrive), Some(arrive + work)),
+            (_, true) => (Some(arrives_at + delay), None),
+            _ => (Some(arrives_at), Some(arrives_at + work)),
         };
-        self.flights.push(Flight {
-            order,
+        self.commands.push(SentCommand {
+            command,
             sent: self.now,
-            target: at,
-            incarnation: self.targets[at].incarnation,
-            arrive,
-            apply,
-            answer,
-            reign: self.reign,
-            result: None,
+            target: index,
+            incarnation: self.targets[index].incarnation,
+            arrives_at,
+            applied_at,
+            answered_at,
+            epoch: self.epoch,
+            outcome: None,
         });
     }
 
-    /// Carries out what is due.
-    fn land(&mut self) {
+    /// Executes commands that have arrived, and reports outcomes and time-outs to the leader.
+    fn deliver_commands(&mut self) {
         let now = self.now;
-        let mut flights = std::mem::take(&mut self.flights);
-        for flight in &mut flights {
-            if flight.apply.is_some_and(|at| at <= now) {
-                flight.apply = None;
-                let target = &mut self.targets[flight.target];
-                // An order to a run that has ended is lost with it.
-                if target.incarnation == flight.incarnation {
-                    flight.result = Some(target.apply(&flight.order, flight.arrive, now));
+        let mut commands = std::mem::take(&mut self.commands);
+        for cmd in &mut commands {
+            if cmd.applied_at.is_some_and(|at| at <= now) {
+                cmd.applied_at = None;
+                let target = &mut self.targets[cmd.target];
+                // Commands to an earlier incarnation are lost.
+                if target.incarnation == cmd.incarnation {
+                    cmd.outcome = Some(target.execute(&cmd.command, cmd.arrives_at, now));
                 } else {
-                    flight.answer = None;
+                    cmd.answered_at = None;
                 }
             }
         }
-        let mut rest = Vec::new();
-        for mut flight in flights {
-            let end = match (flight.answer, flight.result.clone()) {
+        let mut remaining = Vec::new();
+        for mut cmd in commands {
+            let ended = match (cmd.answered_at, cmd.outcome.clone()) {
                 (Some(at), Some(done)) if at <= now => Some(done),
-                (None, _) if now >= flight.sent + LIMIT => Some(CommandOutcome::Unknown),
-                _ if flight.is_grant() && now >= flight.sent + LIMIT => {
-                    Some(CommandOutcome::Unknown)
-                }
+                (None, _) if now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
+                _ if cmd.is_grant() && now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
                 _ => None,
             };
-            if let Some(done) = end
-                && flight.reign != 0
+            if let Some(done) = ended
+                && cmd.epoch != 0
             {
-                if let Some(keeper) = &mut self.keeper
-                    && flight.reign == self.reign
+                if let Some(leader) = &mut self.leader
+                    && cmd.epoch == self.epoch
                 {
-                    keeper.handle_outcome(&flight.order, done, flight.sent, now);
+                    leader.handle_outcome(&cmd.command, done, cmd.sent, now);
                 }
-                flight.reign = 0;
-                flight.answer = None;
+                cmd.epoch = 0;
+                cmd.answered_at = None;
             }
-            if flight.reign != 0 || flight.apply.is_some() {
-                rest.push(flight);
+            if cmd.epoch != 0 || cmd.applied_at.is_some() {
+                remaining.push(cmd);
             }
         }
-        self.flights = rest;
+        self.commands = remaining;
     }
 
-    /// Checks that no two targets hold a key.
-    fn check(&self) {
-        for (at, one) in self.targets.iter().enumerate() {
-            for two in &self.targets[at + 1..] {
-                for a in one.live(self.now) {
-                    for b in two.live(self.now) {
+    /// Checks that no two targets hold the same key.
+    fn check_single_owner(&self) {
+        for (index, one) in self.targets.iter().enumerate() {
+            for two in &self.targets[index + 1..] {
+                for a in one.active_grants(self.now) {
+                    for b in two.active_grants(self.now) {
                         assert!(
                             a.last < b.first || b.last < a.first,
-                            "seed {}: {a:?} and {b:?} at {at}",
+                            "seed {}: {a:?} and {b:?} at {index}",
                             self.seed
                         );
                     }
@@ -402,25 +394,24 @@
         }
     }
 
-    /// Checks that keys that get another owner get a higher fence.
+    /// Checks that keys with a new owner have a higher fence than before.
     fn check_fences(&self, next: &AssignmentTable) {
-        for assignment in &next.assignments {
-            let before = self.table.assignment(assignment.first);
-            let moved = before.owner != assignment.owner;
-            assert!(
-                !moved || assignment.fence > before.fence,
-                "seed {}",
-                self.seed
-            );
+        for after in &next.assignments {
+            let before = self.table.assignment(after.first);
+            let moved = before.owner != after.owner;
+            assert!(!moved || after.fence > before.fence, "seed {}", self.seed);
         }
     }
 
     /// Checks that every key is held by its recorded owner.
-    fn check_served(&self) {
+    fn check_all_granted(&self) {
         for assignment in &self.table.assignments {
             let owner = assignment.owner.as_ref().expect("every key has an owner");
-            let target = &self.targets[index(&owner.id)];
-            let held: u32 = target.live(self.now).map(|it| shared(it, assignment)).sum();
+            let target = &self.targets[target_index(&owner.id)];
+            let held: u32 = target
+                .active_grants(self.now)
+                .map(|it| count_covered_keys(it, assignment))
+                .sum();
             assert!(
                 held == assignment.len(),
                 "seed {}: {held} keys of {assignment:?} are held",
@@ -431,28 +422,28 @@
 }
 
 impl Target {
-    fn live(&self, now: Instant) -> impl Iterator<Item = &Held> {
+    fn active_grants(&self, now: Instant) -> impl Iterator<Item = &HeldGrant> {
         self.held.iter().filter(move |it| self.up && it.until > now)
     }
 
-    fn apply(&mut self, order: &Command, arrived: Instant, now: Instant) -> CommandOutcome {
-        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = order;
+    fn execute(&mut self, command: &Command, arrived: Instant, now: Instant) -> CommandOutcome {
+        let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
         let (first, last) = (assignment.first, assignment.last);
-        match order {
+        match command {
             Command::Grant { ttl, .. } => {
                 let higher = |(a, b, fence): &(u16, u16, Fence)| {
                     *a <= last && first <= *b && *fence > assignment.fence
                 };
-                if self.seen.iter().any(higher) {
+                if self.seen_fences.iter().any(higher) {
                     return CommandOutcome::StaleFence;
                 }
-                self.seen.push((first, last, assignment.fence));
+                self.seen_fences.push((first, last, assignment.fence));
                 self.drop_range(first, last);
-                self.held.push(Held {
+                self.held.push(HeldGrant {
                     first,
                     last,
                     fence: assignment.fence,
-                    until: arrived + ttl.mul_f64(self.slow),
+                    until: arrived + ttl.mul_f64(self.clock_factor),
                 });
                 self.held.retain(|it| it.until > now);
                 CommandOutcome::Accepted
@@ -464,33 +455,33 @@
         }
     }
 
-    /// Ends the holds on keys; what lies beside them stays.
+    /// Ends the grants of a range of keys; grants of the keys beside it stay.
     fn drop_range(&mut self, first: u16, last: u16) {
-        let mut rest = Vec::new();
+        let mut remaining = Vec::new();
         for held in self.held.drain(..) {
             if held.last < first || last < held.first {
-                rest.push(held);
+                remaining.push(held);
                 continue;
             }
             if held.first < first {
-                rest.push(Held {
+                remaining.push(HeldGrant {
                     last: first - 1,
                     ..held.clone()
                 });
             }
             if held.last > last {
-                rest.push(Held {
+                remaining.push(HeldGrant {
                     first: last + 1,
                     ..held
                 });
             }
         }
-        self.held = rest;
+        self.held = remaining;
     }
 }
 
-/// Returns how many keys of a piece a hold with its fence covers.
-fn shared(held: &Held, assignment: &Assignment) -> u32 {
+/// Returns how many keys of an assignment are covered by a grant with its fence.
+fn count_covered_keys(held: &HeldGrant, assignment: &Assignment) -> u32 {
     let first = held.first.max(assignment.first);
     let last = held.last.min(assignment.last);
     match held.fence == assignment.fence && first <= last {
@@ -499,10 +490,10 @@
     }
 }
 
-fn name(at: usize) -> Name {
-    format!("t{at}").into()
+fn target_name(index: usize) -> Name {
+    format!("t{index}").into()
 }
 
-fn index(id: &str) -> usize {
+fn target_index(id: &str) -> usize {
     id[1..].parse().expect("ids are t and a number")
 }
