--- a/crates/decide/tests/owners.rs
+++ b/crates/decide/tests/owners.rs
@@ -109,10 +109,10 @@
 fn an_unanswered_owner_keeps_its_keys_until_its_grant_expires() {
     let start = Instant::now();
     let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), start);
-    let no_owner = candidates(&[("a", false), ("b", true)]);
+    let all = candidates(&[("a", false), ("b", true)]);
     let mut now = start;
     while now < start + TIMING.max_ttl {
-        leader.review_owners(&no_owner, now);
+        leader.review_owners(&all, now);
         for command in leader.next_commands(false, now) {
             assert!(matches!(command, Command::Release { .. }), "{command:?}");
             leader.handle_outcome(&command, CommandOutcome::Unknown, now, now);
