--- a/crates/cowslipcross/src/lead/courier.rs
+++ b/crates/cowslipcross/src/lead/courier.rs
@@ -7,8 +7,8 @@
     },
     cowslip_adapter::{
         Error, Result,
-        http::Client,
-        orders::{self, Grant, Granted},
+        commands::{self, Grant, GrantOutcome},
+        http_client::Client,
     },
     cowslip_decide::{
         names::Name,
@@ -81,24 +81,24 @@
         match order {
             Command::Grant { ttl, handover, .. } => {
                 let grant = Grant {
-                    first: assignment.first,
-                    last: assignment.last,
+                    first_key: assignment.first,
+                    last_key: assignment.last,
                     fence: assignment.fence,
-                    hold: *ttl,
+                    ttl: *ttl,
                     handover: handover.clone(),
                 };
                 let client = clients.grants.lock().await;
                 if !current() {
                     return Err(unsent("no longer leader"));
                 }
-                let granted = orders::grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
+                let granted = commands::send_grant(&client, &owner.id, &grant, GRANT_LIMIT).await;
                 granted.map(of_grant)
             }
             Command::Release { .. } if !current() => Err(unsent("no longer leader")),
             Command::Release { .. } => {
                 let keys = (assignment.first, assignment.last);
                 let client = &clients.releases;
-                orders::release(client, &owner.id, keys, assignment.fence, RELEASE_LIMIT)
+                commands::send_release(client, &owner.id, keys, assignment.fence, RELEASE_LIMIT)
                     .await
                     .map(CommandOutcome::Released)
             }
@@ -117,10 +117,10 @@
     }
 }
 
-fn of_grant(granted: Granted) -> CommandOutcome {
+fn of_grant(granted: GrantOutcome) -> CommandOutcome {
     match granted {
-        Granted::Held => CommandOutcome::Accepted,
-        Granted::Outdated => CommandOutcome::StaleFence,
+        GrantOutcome::Accepted => CommandOutcome::Accepted,
+        GrantOutcome::StaleFence => CommandOutcome::StaleFence,
     }
 }
 
@@ -129,10 +129,12 @@
         // Another target has the address: the owner's process has ended.
         Error::Misdirected => CommandOutcome::TargetEnded,
         // A target that has as many connections as it may have refuses further ones, too.
-        Error::Refused | Error::NotSent(_) => CommandOutcome::Unsent,
-        Error::Rejected { status, .. } if orders::is_unrun(*status) => CommandOutcome::Unsent,
+        Error::ConnectRefused | Error::NotSent(_) => CommandOutcome::Unsent,
+        Error::Rejected { status, .. } if commands::is_not_executed(*status) => {
+            CommandOutcome::Unsent
+        }
         // A faulty target may answer anything else although it has carried the order out.
-        Error::Rejected { .. } | Error::Unknown(_) | Error::Malformed { .. } => {
+        Error::Rejected { .. } | Error::OutcomeUnknown(_) | Error::Malformed { .. } => {
             CommandOutcome::Unknown
         }
     }
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -136,7 +136,7 @@
     if state.is_granting() {
         return None;
     }
-    let current = state.reign == context.lead.borrow().reign();
+    let current = state.reign == context.lead.borrow().epoch();
     let all = divided(context).into_iter();
     let holds = all.map(|name| Some(state.services.get(&name)?.keeper.remaining_grant_time(now)));
     let longest = holds.collect::<Option<Vec<Duration>>>()?.into_iter().max();
@@ -203,7 +203,7 @@
     loop {
         // Either the tick is over or there is something to do.
         let _ = timeout(TICK, context.work.notified()).await;
-        let reign = context.lead.borrow().reign();
+        let reign = context.lead.borrow().epoch();
         if state.borrow().reign != reign {
             let mut state = state.borrow_mut();
             state.services.clear();
@@ -258,7 +258,7 @@
 fn divided(context: &Context) -> Vec<Name> {
     let config = context.config.borrow();
     let services = config.iter().flat_map(|config| &config.services);
-    let divided = services.filter(|(_, service)| service.divided);
+    let divided = services.filter(|(_, service)| service.sharded);
     divided.map(|(name, _)| name.clone()).collect()
 }
 
@@ -304,7 +304,7 @@
     let table = owners
         .as_ref()
         .map_or_else(AssignmentTable::default, |it| (*it.table).clone());
-    let max_hold = context.bounds.borrow().max_hold;
+    let max_hold = context.bounds.borrow().max_ttl;
     let timing = CommandTiming {
         ttl: HOLD.min(max_hold),
         long_ttl: max_hold,
@@ -365,7 +365,9 @@
     if unlisted.is_empty() {
         return Vec::new();
     }
-    let listed = targets.all().map(|it| (it.target.address, it.target.born));
+    let listed = targets
+        .all()
+        .map(|it| (it.target.address, it.target.incarnation));
     let listed: BTreeMap<SocketAddr, u64> = listed.collect();
     let unlisted = unlisted.into_iter().filter(|life| {
         let address = context.address(life);
@@ -384,7 +386,7 @@
     }
     service.balanced = now;
     // Keys that were released and cannot be recorded would have no owner.
-    let writes = context.lead.borrow().writes(clock::moment());
+    let writes = context.lead.borrow().is_store_writable(clock::moment());
     if !writes || service.pending.is_some() {
         return;
     }
@@ -414,7 +416,7 @@
 
 /// Sends the orders that are due.
 fn send(context: &Rc<Context>, state: &Rc<RefCell<LeaderState>>, name: &Name) {
-    let strained = context.lead.borrow().strained(clock::moment());
+    let strained = context.lead.borrow().is_renewal_overdue(clock::moment());
     let mut own = state.borrow_mut();
     let Some(service) = own.services.get_mut(name) else {
         return;
