--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -1,11 +1,11 @@
-//! The leader's state machine for one service: grants, renews and moves keys so that no two targets
-//! own one key at a time.
+//! The leader's state machine for one service: grants keys, renews the grants and moves keys so
+//! that no two targets own one key at a time.
 //!
 //! Keys change their owner in this order: the old owner releases them, its last grant expires, or
 //! its process is known to have ended; the new owner is recorded with a higher fence; the new owner
-//! gets its grant. A grant without an answer may take effect late. Until it has expired, a release
-//! does not free its keys, unless the same owner has accepted a higher fence since, under which the
-//! target refuses the late grant.
+//! gets a grant. A grant without an answer may take effect late. Until such a late grant has
+//! expired, a release of its keys does not free them, unless the same owner has accepted a higher
+//! fence since, under which the target refuses the late grant.
 
 use {
     super::{
@@ -40,9 +40,9 @@
 }
 
 impl CommandTiming {
-    /// Returns the timing for a service of that many assignments: above a threshold, renewals are
-    /// less frequent and TTLs last more than two renewal intervals, as far as `max_ttl` allows.
-    fn scale_to(&self, assignment_count: usize) -> Self {
+    /// Returns the timing for that many assignments: above [`LARGE_ASSIGNMENT_COUNT`], renewals are
+    /// less frequent and TTLs last [`TTL_RENEWAL_RATIO`] intervals, as far as `max_ttl` allows.
+    fn for_assignments(&self, assignment_count: usize) -> Self {
         if assignment_count <= LARGE_ASSIGNMENT_COUNT {
             return *self;
         }
@@ -51,7 +51,7 @@
         let renewal_interval = self
             .slow_renewal
             .max(min_interval)
-            .min(self.max_ttl.mul_f64(MAX_RENEWAL_SHARE));
+            .min(self.max_ttl.mul_f64(MAX_INTERVAL_TTL_RATIO));
         let ttl = renewal_interval
             .mul_f64(TTL_RENEWAL_RATIO)
             .max(self.ttl)
@@ -101,7 +101,7 @@
     StaleFence,
     /// The target released the keys, with a handover value if it gave one.
     Released(Option<Name>),
-    /// The command was not sent.
+    /// The command was not sent; counts as unanswered.
     Unsent,
     /// Another target answered at the owner's address, so the owner's process has ended.
     TargetEnded,
@@ -118,12 +118,12 @@
 /// TTL of a grant as a multiple of the renewal interval.
 const TTL_RENEWAL_RATIO: f64 = 2.4;
 
-/// Longest renewal interval as a part of the longest TTL.
-const MAX_RENEWAL_SHARE: f64 = 0.45;
+/// Longest renewal interval in relation to the longest TTL.
+const MAX_INTERVAL_TTL_RATIO: f64 = 0.45;
 
 const MAX_RENEWALS_PER_SECOND: f64 = 550.0;
 
-/// Returns the time after which a grant of the longest TTL, sent now, has expired at the latest.
+/// Returns how long a grant of the longest TTL can be in force, counted from its sending.
 pub fn max_grant_lifetime(max_ttl: Duration, delivery_limit: Duration) -> Duration {
     delivery_limit + max_ttl.mul_f64(CLOCK_MARGIN)
 }
@@ -139,7 +139,7 @@
 
 impl StoreTimeBound {
     /// Returns the latest time that the store's clock can show at a local `moment`, rounded up to
-    /// whole milliseconds, the unit of the stored rows.
+    /// whole milliseconds, the unit in the stored rows.
     fn latest_at(&self, moment: Instant) -> Duration {
         let time = self.latest + moment.saturating_duration_since(self.local);
         Duration::from_millis(time.as_millis() as u64 + 1)
@@ -180,22 +180,22 @@
         previous: PreviousLeaders,
         now: Instant,
     ) -> Self {
-        let longest = max_grant_lifetime(timing.max_ttl, timing.delivery_limit);
-        let longest = previous
+        let max_lifetime = max_grant_lifetime(timing.max_ttl, timing.delivery_limit);
+        let max_remaining = previous
             .time_until(previous.grants_expire)
-            .unwrap_or(longest)
-            .min(longest);
+            .unwrap_or(max_lifetime)
+            .min(max_lifetime);
         let states = table.assignments.iter().map(|assignment| {
             let remaining = previous
                 .time_until(assignment.expires_at)
-                .unwrap_or(longest)
-                .min(longest);
+                .unwrap_or(max_remaining)
+                .min(max_remaining);
             let grant_end = assignment.owner.as_ref().map(|_| now + remaining);
             AssignmentState {
                 grant_end,
                 late_end: grant_end,
                 late_fence: assignment.fence,
-                // A recorded expiry is valid only if no further grant is sent with that fence.
+                // A recorded expiry forbids further grants with that fence: revoke, do not renew.
                 revocation: assignment.expires_at.map(|_| None),
                 ..AssignmentState::new(assignment.clone(), now)
             }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Returns the time after which no grant is in force, if no further one is sent.
+    /// Returns how long the grants can still be in force if no further one is sent.
     pub fn remaining_grant_time(&self, now: Instant) -> Duration {
         let last_end = |state: &AssignmentState| {
             let known = state.grant_end.max(state.late_end);
@@ -233,7 +233,7 @@
         last.map_or(Duration::ZERO, |last| last.saturating_duration_since(now))
     }
 
-    /// Returns whether a grant has been sent and has not ended.
+    /// Returns whether a grant command has been sent and its outcome is not known yet.
     pub fn has_grant_in_flight(&self) -> bool {
         self.states
             .iter()
@@ -242,11 +242,11 @@
 
     /// Returns whether an owner, a fence or the expiry of an unreachable owner has to be recorded.
     pub fn needs_recording(&self, now: Instant) -> bool {
-        let is_waiting =
+        let awaits_record =
             |state: &AssignmentState| state.is_free || (state.needs_fence && !state.in_flight);
         self.states
             .iter()
-            .any(|state| is_waiting(state) || state.recordable_expiry(now).is_some())
+            .any(|state| awaits_record(state) || state.recordable_expiry(now).is_some())
     }
 
     /// Returns the owners that do not answer commands about their keys.
@@ -282,7 +282,7 @@
             .collect()
     }
 
-    /// Returns whether the assignment that begins with this key keeps its owner and its fence.
+    /// Returns whether an assignment begins with this key and awaits no new owner or fence.
     pub fn is_settled(&self, first: u16) -> bool {
         let state = self
             .state_for(first)
@@ -291,7 +291,8 @@
             .is_some_and(|state| state.revocation.is_none() && !state.is_free && !state.needs_fence)
     }
 
-    /// Starts to revoke keys whose owner is unknown, may not own any or runs as a new incarnation.
+    /// Frees keys without an owner; revokes those whose owner is no candidate, may not own keys or
+    /// has restarted.
     pub fn review_owners(&mut self, candidates: &BTreeMap<Name, Candidate>, now: Instant) {
         for state in &mut self.states {
             let Some(owner) = &state.assignment.owner else {
@@ -320,7 +321,7 @@
 
     /// Returns the commands to send now, which count as in flight from here on.
     pub fn next_commands(&mut self, is_store_unreachable: bool, now: Instant) -> Vec<Command> {
-        let timing = self.timing.scale_to(self.states.len());
+        let timing = self.timing.for_assignments(self.states.len());
         let ttl = match is_store_unreachable {
             true => timing.long_ttl,
             false => timing.ttl,
@@ -340,7 +341,7 @@
             }
             state.in_flight = true;
             let assignment = state.assignment.clone();
-            let is_release = state.revocation.is_some() && !state.has_unaccepted_fence();
+            let is_release = state.revocation.is_some() && !state.is_fence_pending();
             state.sent_ttl = (!is_release).then_some(ttl);
             commands.push(match is_release {
                 true => Command::Release { assignment },
@@ -363,7 +364,7 @@
         now: Instant,
     ) {
         let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
-        let timing = self.timing.scale_to(self.states.len());
+        let timing = self.timing.for_assignments(self.states.len());
         for state in &mut self.states {
             let is_match = state.assignment.fence == assignment.fence
                 && state.assignment.owner == assignment.owner
@@ -378,11 +379,11 @@
         }
     }
 
-    /// Returns the table to record next, or `None` if nothing has to be recorded.
+    /// Returns the table to record next, or `None` if it would not differ from the present one.
     ///
     /// `choose_owner` gets each free assignment with the target that it was to move to. The table
-    /// takes effect only with [`AssignmentManager::apply_recorded`]. Without `store_time` it has no
-    /// further expiries of unreachable owners' grants.
+    /// takes effect only with [`AssignmentManager::apply_recorded`]. Without `store_time`, no
+    /// expiry is added to it.
     pub fn propose_table(
         &self,
         store_time: Option<StoreTimeBound>,
@@ -439,16 +440,16 @@
         self.states[..after].last()
     }
 
-    /// Splits keys that never had an owner into `count` equal assignments, one for each target.
-    pub fn split_evenly(&mut self, count: u32) {
+    /// Splits the keys into equal assignments, one for each target, if none ever had an owner.
+    pub fn split_evenly(&mut self, target_count: u32) {
         let is_unassigned = self.states.len() == 1 && self.states[0].assignment.owner.is_none();
-        if !is_unassigned || count < 2 {
+        if !is_unassigned || target_count < 2 {
             return;
         }
-        let size = (u32::from(u16::MAX) + 1) / count;
+        let size = (u32::from(u16::MAX) + 1) / target_count;
         let whole = self.states[0].clone();
         let part = |index: u32| {
-            let last = if index + 1 == count {
+            let last = if index + 1 == target_count {
                 u16::MAX
             } else {
                 ((index + 1) * size - 1) as u16
@@ -463,7 +464,7 @@
                 ..whole.clone()
             }
         };
-        self.states = (0..count).map(part).collect();
+        self.states = (0..target_count).map(part).collect();
     }
 
     /// Merges neighbours with the same owner and fence, so that one grant covers both.
--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -10,20 +10,20 @@
     tokio::time::Instant,
 };
 
-/// Time constant of the exponential decay: a request's weight falls to about a third in it.
+/// Time in which the weight of a request decays to about a third.
 const DECAY_TIME: Duration = Duration::from_secs(3);
-/// Base load of each key, in requests; it spreads keys over targets before there is any traffic.
+/// Load in requests that each key has without traffic, so that keys are spread before there is any.
 const IDLE_KEY_LOAD: f64 = 0.0005;
-/// Ratio of a target's load to the mean load from which keys are moved.
+/// Ratio of a target's load to the mean, both relative to capacity, from which keys are moved.
 const MIN_IMBALANCE: f64 = 1.25;
 /// Smallest part of the mean load that is worth a transfer.
 const MIN_MOVED_SHARE: f64 = 0.08;
-/// Standard deviations by which a load must exceed the mean, so that chance alone moves no keys.
+/// Standard deviations by which a target's load must exceed the mean, to rule out chance.
 const MIN_DEVIATIONS: f64 = 1.2;
-/// Assignments for each target from which on only whole ones are moved.
+/// Assignments for each target from which on none is split for a transfer.
 const MAX_ASSIGNMENTS_PER_TARGET: usize = 6;
-/// The same limit for a large service, as a base and a number for each target: each assignment
-/// costs the leader a renewal.
+/// Base and number for each target of a second limit, the lower one for large services: each
+/// assignment costs the leader a renewal.
 const LARGE_SERVICE_ASSIGNMENTS: (usize, usize) = (200, 2);
 /// Weight in requests at or below which a key's entry is removed.
 const MIN_TRACKED_WEIGHT: f64 = 0.02;
@@ -224,7 +224,7 @@
         names
     }
 
-    /// Returns the assignments of a target of which no part is in a transfer.
+    /// Returns the assignments of a target within which no transfer begins.
     fn movable_assignments<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a Assignment> {
         self.assignments.iter().filter(move |assignment| {
             let is_owned = assignment.owner.as_ref().is_some_and(|it| it.id == *owner);
@@ -306,7 +306,8 @@
             return None;
         }
         let headroom = (mean - low) * self.capacities[least_loaded];
-        // At most half of the difference, so that the receiver does not become the most loaded.
+        // 0.4 is less than half of the difference, so that the receiver does not become the most
+        // loaded.
         let wanted = surplus
             .min(headroom)
             .max((high - low) * self.capacities[least_loaded] * 0.4);
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -10,8 +10,8 @@
     tokio::time::Instant,
 };
 
-/// Factor by which the leader lengthens a grant's TTL: a target's clock may run up to 2% slow, so
-/// that the grant ends later; 3% are added.
+/// Factor by which the leader lengthens a TTL in its own calculation: a target's clock may run up
+/// to 2% slow, so that the grant ends later; 3% are added.
 pub(super) const CLOCK_MARGIN: f64 = 1.03;
 
 /// Consecutive commands without an answer after which keys are revoked from their owner.
@@ -19,11 +19,11 @@
 
 /// Consecutive commands without an answer after which the expiry of the owner's grant is recorded.
 ///
-/// Without that record, the next leader has to assume that the keys were granted just before this
-/// one ended.
+/// Without that record, the next leader has to assume that the present one granted the keys just
+/// before it ended.
 const UNANSWERED_BEFORE_EXPIRY: u32 = 2;
 
-/// Shortest time until that expiry for which the record is worth a write to the store.
+/// Shortest time until the expiry of a grant for which its record is worth a write to the store.
 const MIN_REMAINING_TO_RECORD: Duration = Duration::from_millis(1500);
 
 /// Most doublings of the retry delay after failed commands.
@@ -129,20 +129,22 @@
         !is_pending && self.assignment.owner.is_some() && self.handover.is_none()
     }
 
-    /// Returns whether the owner has yet to accept the fence that makes it refuse late grants.
-    pub fn has_unaccepted_fence(&self) -> bool {
+    /// Returns whether a late grant may be in force and the owner has yet to accept the higher
+    /// fence under which it refuses that grant.
+    pub fn is_fence_pending(&self) -> bool {
         self.late_end.is_some() && self.assignment.fence > self.late_fence
     }
 
     /// Returns when the grant of an unreachable owner, from which the keys are being revoked, has
-    /// expired for sure; `None` if that is recorded already or not worth a record.
+    /// expired at the latest; `None` if that is recorded already or not worth a record, or if a
+    /// command in flight or a higher fence may still extend the owner's time.
     pub fn recordable_expiry(&self, now: Instant) -> Option<Instant> {
         let is_unreachable =
             self.revocation.is_some() && self.unanswered_count >= UNANSWERED_BEFORE_EXPIRY;
         if !is_unreachable
             || self.is_free
             || self.in_flight
-            || self.has_unaccepted_fence()
+            || self.is_fence_pending()
             || self.assignment.expires_at.is_some()
         {
             return None;
@@ -189,6 +191,7 @@
                     self.handover = None;
                 }
                 self.command_due = match self.revocation {
+                    // The release follows at once.
                     Some(_) => now,
                     None => sent + timing.renewal_interval,
                 };
@@ -206,6 +209,7 @@
             }
             (Command::Release { .. }, CommandOutcome::Released(handover)) => match self.late_end {
                 None => self.mark_free(handover.clone()),
+                // The late grant could take effect after the release, so a higher fence is needed.
                 Some(_) => {
                     self.handover.clone_from(handover);
                     self.needs_fence = true;
--- a/crates/decide/src/owners/table.rs
+++ b/crates/decide/src/owners/table.rs
@@ -25,8 +25,8 @@
     pub owner: Option<TargetIncarnation>,
     /// Number that rises with each change of the owner; targets refuse grants with a lower one.
     pub fence: Fence,
-    /// Time of the store's clock at which the owner's last grant has expired, if no further grant is
-    /// sent with this fence; `None` if it is not recorded.
+    /// Time of the store's clock at which the owner's last grant has expired, if no further grant
+    /// is sent with this fence; `None` if it is not recorded.
     pub expires_at: Option<Duration>,
 }
 
@@ -101,7 +101,7 @@
         self.assignments.iter().filter(changed).cloned().collect()
     }
 
-    /// Replaces the owners and fences of the given keys by those of a later table.
+    /// Replaces the owners and fences of the given keys by those of a later table; expiries stay.
     pub fn apply_changes(&mut self, changes: &[Assignment]) {
         for change in changes {
             self.split_around(change.first, change.last);
--- a/crates/decide/tests/owners.rs
+++ b/crates/decide/tests/owners.rs
@@ -27,6 +27,7 @@
     }
 }
 
+/// Returns a table in which one target owns all keys.
 fn owned(id: &str) -> AssignmentTable {
     AssignmentTable {
         assignments: vec![Assignment {
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn after_a_leader_change_a_release_counts_only_under_a_higher_fence() {
+fn after_a_leader_change_a_release_frees_keys_only_under_a_higher_fence() {
     // A grant of the previous leader may still be in flight, and the owner would accept it.
     let now = Instant::now();
     let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
@@ -199,7 +200,7 @@
         "owner and fence stay"
     );
     leader.apply_recorded(&table, now);
-    assert!(!leader.needs_recording(now), "once is enough");
+    assert!(!leader.needs_recording(now), "recorded only once");
 
     // The target is back, but the next leader must not renew a grant whose expiry is recorded.
     let previous = |at: Instant| PreviousLeaders {
@@ -238,7 +239,7 @@
 fn no_expiry_is_recorded_while_a_grant_is_in_flight() {
     let now = Instant::now();
     let mut leader = AssignmentManager::new(&owned("a"), TIMING, PreviousLeaders::default(), now);
-    let later = |times: u32| now + Duration::from_millis(300) * times;
+    let later = |step: u32| now + Duration::from_millis(300) * step;
     leader.review_owners(&candidates(&[("a", true)]), now);
     for step in 0..2 {
         let grant = leader.next_commands(false, later(step));
@@ -247,7 +248,7 @@
     let grant = leader.next_commands(false, later(3));
     assert!(matches!(grant.as_slice(), [Command::Grant { .. }]));
     leader.review_owners(&candidates(&[("a", false)]), later(3));
-    assert!(!leader.needs_recording(later(3)), "the grant is under way");
+    assert!(!leader.needs_recording(later(3)), "the grant is in flight");
     leader.handle_outcome(&grant[0], CommandOutcome::Unsent, later(3), later(3));
     assert!(leader.needs_recording(later(4)));
 }
@@ -263,13 +264,13 @@
         .propose_table(None, |_, _| None)
         .expect("a higher fence");
     leader.apply_recorded(&table, now);
-    for times in 0..4 {
-        let at = now + Duration::from_secs(1) * times;
+    for seconds in 0..4 {
+        let at = now + Duration::from_secs(1) * seconds;
         for command in leader.next_commands(false, at) {
             assert!(matches!(command, Command::Grant { .. }), "{command:?}");
             leader.handle_outcome(&command, CommandOutcome::Unsent, at, at);
         }
-        assert!(!leader.needs_recording(at), "after {times} s");
+        assert!(!leader.needs_recording(at), "after {seconds} s");
     }
 }
 
@@ -330,11 +331,11 @@
 
 #[test]
 fn a_hot_range_is_spread_over_targets_within_a_few_rounds() {
-    let names: Vec<Name> = (0..10).map(|at| Name::from(format!("t{at}"))).collect();
+    let names: Vec<Name> = (0..10).map(|i| Name::from(format!("t{i}"))).collect();
     let capacity: TargetCapacities = names.iter().map(|name| (name.clone(), 1.0)).collect();
     let mut table = AssignmentTable::default();
-    for at in 1..10u16 {
-        table.split_around(at * 6553, u16::MAX);
+    for index in 1..10u16 {
+        table.split_around(index * 6553, u16::MAX);
     }
     for (assignment, name) in table.assignments.iter_mut().zip(&names) {
         assignment.owner = Some(target(name));
@@ -410,14 +411,14 @@
 /// Returns a table of equal assignments, one for each target.
 fn split(names: &[&str]) -> AssignmentTable {
     let size = 65_536 / names.len() as u32;
-    let assignments = names.iter().zip(0u32..).map(|(name, at)| Assignment {
-        first: (at * size) as u16,
-        last: match at as usize + 1 == names.len() {
+    let assignments = names.iter().zip(0u32..).map(|(name, index)| Assignment {
+        first: (index * size) as u16,
+        last: match index as usize + 1 == names.len() {
             true => u16::MAX,
-            false => ((at + 1) * size - 1) as u16,
+            false => ((index + 1) * size - 1) as u16,
         },
         owner: Some(target(name)),
-        fence: Fence(u64::from(at) + 1),
+        fence: Fence(u64::from(index) + 1),
         expires_at: None,
     });
     AssignmentTable {
@@ -457,8 +458,8 @@
         assert!(keys > 10_000, "{empty}: {transfers:?}");
     }
     // No key is moved twice.
-    for (at, one) in transfers.iter().enumerate() {
-        let others = &transfers[at + 1..];
+    for (index, one) in transfers.iter().enumerate() {
+        let others = &transfers[index + 1..];
         assert!(
             others
                 .iter()
@@ -471,7 +472,7 @@
 #[test]
 fn thousands_of_targets_get_their_keys() {
     let now = Instant::now();
-    let names: Vec<String> = (0..3000).map(|at| format!("t{at:04}")).collect();
+    let names: Vec<String> = (0..3000).map(|i| format!("t{i:04}")).collect();
     let targets: Vec<(&str, bool)> = names.iter().map(|it| (it.as_str(), true)).collect();
     let (all, capacity) = (
         candidates(&targets),
@@ -491,10 +492,10 @@
         })
         .is_empty()
     );
-    let mut least = TargetsByLoad::new(capacity.iter(), &BTreeMap::new());
+    let mut by_load = TargetsByLoad::new(capacity.iter(), &BTreeMap::new());
     let choose_owner = |assignment: &Assignment, _: Option<&Name>| {
-        let name = least.least_loaded().cloned()?;
-        least.add_load(&name, f64::from(assignment.len()));
+        let name = by_load.least_loaded().cloned()?;
+        by_load.add_load(&name, f64::from(assignment.len()));
         Some(target(&name))
     };
     let table = leader.propose_table(None, choose_owner).expect("free keys");
@@ -522,7 +523,7 @@
         granted += commands.len();
     }
     assert_eq!(granted, 3000);
-    // Renewals are due before the grants expire, but not all the time.
+    // Renewals are due before the grants expire, but not within 2 s.
     assert!(
         leader
             .next_commands(false, now + Duration::from_secs(2))
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -25,7 +25,7 @@
 };
 
 const TICK_LENGTH: Duration = Duration::from_millis(10);
-/// Time after which a grant counts as unanswered.
+/// Time after which a grant, or a release whose answer was lost, counts as unanswered.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 /// Time of the store's clock at the start.
 const STORE_START: Duration = Duration::from_secs(1000);
@@ -51,6 +51,7 @@
     can_own: bool,
     listed: bool,
     reachable: bool,
+    /// Factor by which the target's slow clock lengthens its grants.
     clock_factor: f64,
     held: Vec<HeldGrant>,
     /// Fences of accepted grants with their first and last key.
@@ -62,7 +63,6 @@
     command: Command,
     sent: Instant,
     target: usize,
-    /// Incarnation of the target to which the command was sent.
     incarnation: u64,
     arrives_at: Instant,
     applied_at: Option<Instant>,
@@ -88,7 +88,7 @@
     table: AssignmentTable,
     leader: Option<AssignmentManager>,
     epoch: u32,
-    leaderless_ticks: u32,
+    election_ticks: u32,
     /// Expiry of the last leader's grants, if it resigned; `None` if it crashed.
     grants_end: Option<Instant>,
     is_healed: bool,
@@ -130,7 +130,7 @@
             table: AssignmentTable::default(),
             leader: None,
             epoch: 0,
-            leaderless_ticks: 1,
+            election_ticks: 1,
             grants_end: None,
             is_healed: false,
             commands: Vec::new(),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Runs a phase with faults, then one without, and checks the holders of keys throughout.
+    /// Runs a phase with faults, then one without; checks ownership on each tick and at the end.
     pub fn run(&mut self) {
         for tick in 0..FAULT_TICKS + HEALTHY_TICKS {
             self.now += TICK_LENGTH;
@@ -170,13 +170,13 @@
             4 => {
                 self.leader = None;
                 self.grants_end = None;
-                self.leaderless_ticks = self.rng.random_range(1..400);
+                self.election_ticks = self.rng.random_range(1..400);
             }
             5 => {
                 // The leader resigns while its commands are in flight.
                 let leader = self.leader.take();
                 self.grants_end = leader.map(|it| self.now + it.remaining_grant_time(self.now));
-                self.leaderless_ticks = self.rng.random_range(1..400);
+                self.election_ticks = self.rng.random_range(1..400);
             }
             _ => {}
         }
@@ -200,8 +200,8 @@
     /// Lets the leader act, or elects a new one after a while without a leader.
     fn run_leader(&mut self) {
         let Some(mut leader) = self.leader.take() else {
-            self.leaderless_ticks = self.leaderless_ticks.saturating_sub(1);
-            if self.leaderless_ticks == 0 {
+            self.election_ticks = self.election_ticks.saturating_sub(1);
+            if self.election_ticks == 0 {
                 self.epoch += 1;
                 self.pending_record = None;
                 let past = PreviousLeaders {
@@ -307,20 +307,20 @@
         let is_dropped = !self.is_healed && self.rng.random_bool(0.05);
         let is_lost = !self.targets[index].reachable || is_dropped;
         let is_grant = matches!(command, Command::Grant { .. });
-        let is_late = is_grant && !self.is_healed && self.rng.random_bool(0.05);
+        let is_unanswered = is_grant && !self.is_healed && self.rng.random_bool(0.05);
         // An instance that gets no processor time sends late, in spite of its time-out.
-        let is_slow = is_grant && !self.is_healed && self.rng.random_bool(0.05);
-        let delay_range = if is_slow { 200..780 } else { 1..200 };
+        let is_sent_late = is_grant && !self.is_healed && self.rng.random_bool(0.05);
+        let delay_range = if is_sent_late { 200..780 } else { 1..200 };
         let arrives_at = self.now + Duration::from_millis(self.rng.random_range(delay_range));
         let delay = Duration::from_millis(self.rng.random_range(500..9000));
-        let work = match command {
+        let answer_delay = match command {
             Command::Grant { .. } => Duration::from_millis(1),
             Command::Release { .. } => Duration::from_millis(self.rng.random_range(1..300)),
         };
-        let (applied_at, answered_at) = match (is_lost, is_late) {
+        let (applied_at, answered_at) = match (is_lost, is_unanswered) {
             (true, _) => (None, None),
             (_, true) => (Some(arrives_at + delay), None),
-            _ => (Some(arrives_at), Some(arrives_at + work)),
+            _ => (Some(arrives_at), Some(arrives_at + answer_delay)),
         };
         self.commands.push(SentCommand {
             command,
@@ -354,18 +354,18 @@
         let mut remaining = Vec::new();
         for mut cmd in commands {
             let ended = match (cmd.answered_at, cmd.outcome.clone()) {
-                (Some(at), Some(done)) if at <= now => Some(done),
+                (Some(at), Some(result)) if at <= now => Some(result),
                 (None, _) if now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
                 _ if cmd.is_grant() && now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
                 _ => None,
             };
-            if let Some(done) = ended
+            if let Some(result) = ended
                 && cmd.epoch != 0
             {
                 if let Some(leader) = &mut self.leader
                     && cmd.epoch == self.epoch
                 {
-                    leader.handle_outcome(&cmd.command, done, cmd.sent, now);
+                    leader.handle_outcome(&cmd.command, result, cmd.sent, now);
                 }
                 cmd.epoch = 0;
                 cmd.answered_at = None;
@@ -377,7 +377,7 @@
         self.commands = remaining;
     }
 
-    /// Checks that no two targets hold the same key.
+    /// Checks that no two targets have grants of the same key.
     fn check_single_owner(&self) {
         for (index, one) in self.targets.iter().enumerate() {
             for two in &self.targets[index + 1..] {
@@ -385,7 +385,7 @@
                     for b in two.active_grants(self.now) {
                         assert!(
                             a.last < b.first || b.last < a.first,
-                            "seed {}: {a:?} and {b:?} at {index}",
+                            "seed {}: {a:?} of target {index} overlaps {b:?}",
                             self.seed
                         );
                     }
@@ -403,7 +403,7 @@
         }
     }
 
-    /// Checks that every key is held by its recorded owner.
+    /// Checks that every key is granted to its recorded owner.
     fn check_all_granted(&self) {
         for assignment in &self.table.assignments {
             let owner = assignment.owner.as_ref().expect("every key has an owner");
@@ -414,7 +414,7 @@
                 .sum();
             assert!(
                 held == assignment.len(),
-                "seed {}: {held} keys of {assignment:?} are held",
+                "seed {}: {held} keys of {assignment:?} are granted",
                 self.seed
             );
         }
