--- a/crates/cowslipcross/src/events.rs
+++ b/crates/cowslipcross/src/events.rs
@@ -1,4 +1,4 @@
-//! Numbered events of this process, in a bounded ring and in the log.
+//! Numbered events of this process, kept in a ring buffer and written to the log.
 
 pub mod catalogue;
 pub mod hybrid_clock;
@@ -22,37 +22,37 @@
     },
 };
 
-/// Number of a kind of event; `docs/EVENTS.md` lists them.
+/// Number of a kind of event; `docs/EVENTS.md` lists all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventCode(pub u16);
 
-/// What an event is about.
+/// Optional fields of an event.
 #[derive(Clone, Debug, Default)]
 pub struct EventFields {
-    /// Request or attempt.
+    /// Request id.
     pub request: Option<Name>,
-    /// Key.
+    /// Key or range of keys.
     pub key: Option<Name>,
-    /// Target.
+    /// Target id.
     pub target: Option<Name>,
-    /// Instance.
+    /// Name of an instance.
     pub instance: Option<Name>,
-    /// Anything else, in words.
+    /// Further details as text.
     pub detail: Option<String>,
 }
 
-/// The process that events come from.
+/// The process that records the events.
 #[derive(Clone, Debug)]
 pub struct Origin {
     /// Name of the instance.
     pub process: Name,
     /// Data centre of the instance.
     pub data_centre: Name,
-    /// Run of the instance.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
-/// Handle that records events; clones share one bounded ring and one clock.
+/// Records events; clones share one ring buffer and one clock.
 #[derive(Clone)]
 pub struct EventLog {
     shared: Arc<Shared>,
@@ -70,7 +70,7 @@
 }
 
 impl EventLog {
-    /// Returns a handle to an empty ring of `capacity` events; without a logger nothing is logged.
+    /// Creates a log that keeps the latest `capacity` events; without a logger it writes no lines.
     pub fn new(origin: Origin, capacity: usize, logger: Option<Arc<Logger>>) -> Self {
         let state = State {
             clock: HybridClock::default(),
@@ -86,40 +86,40 @@
         }
     }
 
-    /// Records an event; beyond the rate of its kind it is only counted.
-    pub fn record(&self, code: EventCode, about: EventFields) {
+    /// Records an event, or only counts it if its kind exceeds its rate.
+    pub fn record(&self, code: EventCode, fields: EventFields) {
         let kind = catalogue::find_kind(code);
-        let Some(event) = self.append(kind, about) else {
+        let Some(event) = self.append(kind, fields) else {
             return;
         };
         if let Some(logger) = &self.shared.logger {
-            let line = event.json();
+            let line = event.to_json();
             spdlog::log!(logger: logger, kind.level.into(), "{line}");
         }
     }
 
-    /// Returns a stamp that is later than every stamp before; it goes out with peer messages.
+    /// Returns a timestamp later than all earlier ones, to be sent with a message to an instance.
     pub fn next_timestamp(&self) -> HybridTimestamp {
         self.state().clock.advance()
     }
 
-    /// Moves the clock past the stamp of a message that came in.
-    pub fn observe_timestamp(&self, stamp: HybridTimestamp) {
-        self.state().clock.observe_timestamp(stamp);
+    /// Moves the clock past the timestamp of a received message.
+    pub fn observe_timestamp(&self, timestamp: HybridTimestamp) {
+        self.state().clock.observe_timestamp(timestamp);
     }
 
-    /// Returns the kept events with a number above `after`, the oldest first.
+    /// Returns the kept events with a sequence number above `after`, oldest first.
     pub fn events_after(&self, after: u64) -> EventPage {
         self.state().ring.page(after)
     }
 
-    fn append(&self, kind: &EventKind, about: EventFields) -> Option<Event> {
+    fn append(&self, kind: &EventKind, fields: EventFields) -> Option<Event> {
         let mut state = self.state();
-        let stamp = state.clock.advance();
-        if !state.ring.admit(kind, stamp) {
+        let timestamp = state.clock.advance();
+        if !state.ring.admit(kind, timestamp) {
             return None;
         }
-        let event = Event::new(&self.shared.origin, stamp, kind, about);
+        let event = Event::new(&self.shared.origin, timestamp, kind, fields);
         Some(state.ring.push(event))
     }
 
--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -1,39 +1,39 @@
-//! Every kind of event: its number, weight, text, meaning and what an operator does.
+//! Every kind of event: its number, level, text, meaning and what an operator does about it.
 
 use {
     super::{EventCode, EventFields},
     serde::Serialize,
 };
 
-/// Events a second that a frequent kind records; further ones are counted.
+/// Events recorded per second of a frequent kind; further ones are only counted.
 const FREQUENT: Option<u32> = Some(50);
 
-/// Weight of an event.
+/// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// The course of a request; kept in the ring, not logged by default.
+    /// A step in the handling of a request.
     Debug,
-    /// A change that is part of ordinary work.
+    /// A change in normal operation.
     Info,
-    /// Something failed and the system deals with it.
+    /// A failure that the system recovers from by itself.
     Warn,
-    /// Something an operator should look at.
+    /// A failure that an operator should look at.
     Error,
 }
 
 /// A kind of event.
 #[derive(Clone, Copy, Debug)]
 pub struct EventKind {
-    /// Number.
+    /// Number of the kind.
     pub code: EventCode,
-    /// Weight.
+    /// Severity.
     pub level: Level,
-    /// Events a second that are recorded; `None` for all.
+    /// Events recorded per second; `None` for all.
     pub rate: Option<u32>,
-    /// Text with places for what the event is about.
+    /// Text with placeholders for the fields of an event.
     pub template: &'static str,
-    /// What has happened.
+    /// What has happened, for the page of events.
     pub meaning: &'static str,
     /// What an operator does about it.
     pub action: &'static str,
@@ -46,7 +46,7 @@
             pub const $name: EventCode = EventCode($code);
         )*
 
-        /// Every kind in the order of the numbers.
+        /// Every kind, sorted by number for binary search.
         pub const CATALOGUE: &[EventKind] = &[
             $(EventKind {
                 code: $name,
@@ -62,120 +62,121 @@
 
 catalogue! {
     101 INSTANCE_STARTED Info None; "started: {detail}";
-        "The process runs and listens."; "Nothing.";
-    102 SHUTDOWN_STARTED Info None; "stop begun: {detail}";
-        "The process tells that it is not ready and finishes what is in flight."; "Nothing.";
-    103 SHUTDOWN_FINISHED Info None; "stop ended: {detail}";
-        "Nothing is in flight any more and the process ends."; "Nothing.";
+        "The process has started and listens on its ports."; "Nothing.";
+    102 SHUTDOWN_STARTED Info None; "shutdown started: {detail}";
+        "The process reports itself as not ready and finishes the requests in progress."; "Nothing.";
+    103 SHUTDOWN_FINISHED Info None; "shutdown finished: {detail}";
+        "The process ends: no request is in progress any more, or the grace period is over.";
+        "Nothing.";
     106 CONNECTION_REFUSED Warn FREQUENT; "connection of a caller not accepted: {detail}";
-        "A connection could not be accepted, for want of descriptors for example.";
+        "A connection could not be accepted, for lack of file descriptors for example.";
         "Look for callers that leave connections open.";
-    107 TASK_FAILED Error None; "duty failed: {detail}";
-        "A duty could not start, and the process cannot do its part.";
+    107 TASK_FAILED Error None; "task failed to start: {detail}";
+        "A task of the process could not start; the process runs without it.";
         "Restart the process; look at the detail if it fails again.";
-    206 ASSIGNMENTS_UPDATED Info None; "owners adopted: {detail}";
-        "The instance follows later owners of keys."; "Nothing.";
-    210 ASSIGNMENTS_RECORDED Info None; "owners recorded: {detail}";
-        "The leader has written owners of keys to the store."; "Nothing.";
+    206 ASSIGNMENTS_UPDATED Info None; "assignments updated: {detail}";
+        "The instance uses a later version of a service's assignments."; "Nothing.";
+    210 ASSIGNMENTS_RECORDED Info None; "assignments recorded: {detail}";
+        "The leader has written a service's assignments to the store."; "Nothing.";
     304 CONFIG_APPLIED Info None; "configuration in force: {detail}";
-        "The instance follows a later configuration."; "Nothing.";
+        "The instance uses a later configuration."; "Nothing.";
     305 CONFIG_REJECTED Error None; "configuration refused: {detail}";
-        "A configuration, or a part of it, cannot be read; without the whole the former stays in force.";
-        "Run `cowslipctl check` on the configuration and mend it.";
+        "A configuration, or a part of it, cannot be read; if all of it cannot, the previous one stays in force.";
+        "Run `cowslipctl check` on the configuration and correct it.";
     306 DATA_CENTRE_WITHDRAWN Info None; "data centre withdrawn: {detail}";
         "Targets of the data centre get no new work from this instance."; "Nothing.";
     307 DATA_CENTRE_RESTORED Info None; "data centre restored: {detail}";
         "Targets of the data centre may get new work again."; "Nothing.";
     404 TARGET_SHED Debug FREQUENT; "target {target} shed request {request}: {detail}";
         "The target refused a request without running it.";
-        "If it is frequent, compare the slots that the target reports with what it bears.";
-    405 TARGET_DRAINING Info None; "target {target} leaving: {detail}";
-        "The target drains and gets no new work."; "Nothing.";
+        "If it is frequent, compare the slots that the target reports with the load it can serve.";
+    405 TARGET_DRAINING Info None; "target {target} draining: {detail}";
+        "The target finishes its work and gets no new work."; "Nothing.";
     409 GRANT_REFUSED Warn FREQUENT; "target {target} refused a grant: {detail}";
-        "The target has seen a higher fence for a range than that of the grant.";
+        "The target has seen a higher fence for these keys than that of the grant.";
         "Nothing, if it ends within seconds of a move.";
     502 BAD_REQUEST Debug FREQUENT; "bad request {request}: {detail}";
-        "A caller sent what is not valid."; "Tell the caller's team.";
-    504 RETRY Debug FREQUENT; "request {request} tried again: {detail}";
-        "An attempt ended as `not-run` or may be repeated."; "Nothing.";
-    510 MAY_HAVE_RUN Warn FREQUENT; "answer to request {request} broken: {detail}";
-        "No whole answer came back from the target; the verdict is `may-have-run`.";
+        "A caller sent an invalid request."; "Tell the caller's team.";
+    504 RETRY Debug FREQUENT; "request {request} retried: {detail}";
+        "An attempt ended as `not-run`, or the request is idempotent."; "Nothing.";
+    510 MAY_HAVE_RUN Warn FREQUENT; "no complete response to request {request}: {detail}";
+        "The target sent no complete response; the verdict is `may-have-run`.";
         "See the page on unserved requests.";
-    601 SETTINGS_RELOADED Info None; "settings read again: {detail}";
-        "The process follows the settings file."; "Nothing.";
-    602 SETTINGS_RELOAD_FAILED Error None; "settings not read again: {detail}";
-        "The settings file is not valid; the former settings stay in force."; "Mend the file.";
-    603 STORE_UNAVAILABLE Warn None; "store down: {detail}";
-        "The platform's store does not answer this duty; what is known stays in force.";
+    601 SETTINGS_RELOADED Info None; "settings reloaded: {detail}";
+        "The process uses the settings file as it is now."; "Nothing.";
+    602 SETTINGS_RELOAD_FAILED Error None; "settings not reloaded: {detail}";
+        "The settings file is invalid; the previous settings stay in force."; "Correct the file.";
+    603 STORE_UNAVAILABLE Warn None; "store unavailable: {detail}";
+        "The platform's store does not answer this task; the data read before stays in use.";
         "See the page on outages of the store.";
-    604 STORE_RECOVERED Info None; "store up: {detail}";
-        "The platform's store answers this duty again."; "Nothing.";
+    604 STORE_RECOVERED Info None; "store available: {detail}";
+        "The platform's store answers this task again."; "Nothing.";
     605 TARGET_REPORT_INVALID Warn FREQUENT; "report of a target skipped: {detail}";
-        "A row among the targets cannot be read; the others hold.";
-        "Look who writes among the targets.";
+        "A row in the table of targets cannot be read; the other rows are used.";
+        "Find out who writes to the table of targets.";
     606 ROW_INVALID Error FREQUENT; "row refused: {detail}";
-        "A row of the project's own table cannot be read; the former one stays in force.";
-        "Look who writes to the table.";
-    607 WRITE_UNANSWERED Warn FREQUENT; "write without an answer: {detail}";
-        "The store may have carried out a write of the leader, or may do so later; it is read back.";
+        "A row of the router's own table cannot be read; the previous value stays in use.";
+        "Find out who writes to the table.";
+    607 WRITE_UNANSWERED Warn FREQUENT; "write not answered: {detail}";
+        "The store may have carried out a write of the leader, or may do so later; the leader reads it back.";
         "Nothing, if `CC0609` does not follow.";
     608 LEADERSHIP_GAINED Info None; "leader: {detail}";
-        "This instance keeps the owners of keys from now on."; "Nothing.";
+        "This instance assigns keys to targets from now on."; "Nothing.";
     609 LEADERSHIP_LOST Warn None; "no longer leader: {detail}";
-        "Another instance takes over once the lease has run out.";
-        "Nothing, if another instance tells `CC0608`.";
+        "Another instance takes over once the lease has expired.";
+        "Nothing, if another instance reports `CC0608`.";
     610 WRITE_REFUSED Warn FREQUENT; "write refused: {detail}";
         "The store did not carry out a write of the leader."; "Look at the platform.";
     611 TARGET_ADDED Info FREQUENT; "target {target} found: {detail}";
-        "A target reports itself, or has started again."; "Nothing.";
+        "A target reports itself for the first time, or after a restart."; "Nothing.";
     612 TARGET_REMOVED Info FREQUENT; "target {target} gone: {detail}";
-        "A target's report is no longer there; it gets no new work."; "Nothing.";
+        "A target's report is no longer in the store; the target gets no new work."; "Nothing.";
     613 ASSIGNMENT_RELEASED Info FREQUENT; "keys {key} released by target {target}: {detail}";
-        "The leader has taken keys back to give them to another target."; "Nothing.";
-    614 COMMAND_FAILED Warn FREQUENT; "order about keys {key} to target {target} failed: {detail}";
-        "A grant or a release got no answer; it is sent again.";
-        "If it lasts, look at the path between the leader and the target.";
+        "The target has given up keys that the leader assigns to another target."; "Nothing.";
+    614 COMMAND_FAILED Warn FREQUENT; "command for keys {key} to target {target} failed: {detail}";
+        "A grant or a release failed; the leader sends it again as long as it is needed.";
+        "If it lasts, look at the network between the leader and the target.";
     615 EVENTS_SKIPPED Info None; "events not recorded so far: {detail}";
-        "Kinds came more often than their rate; the numbers count from the start of the process.";
+        "Some kinds of event exceeded their rate; the counts are since the start of the process.";
         "Nothing; the metrics count every one.";
-    616 RELEASE_STARTED Info FREQUENT; "keys {key} are to leave target {target}: {detail}";
-        "The leader takes keys back; the answer waits for the work on them, and requests wait too.";
+    616 RELEASE_STARTED Info FREQUENT; "release of keys {key} requested from target {target}: {detail}";
+        "The leader takes keys back; the target replies when its work on them is done, and requests wait too.";
         "Nothing, if `CC0613` follows.";
     701 UNSERVED Info FREQUENT; "request {request} unserved: {detail}";
-        "A caller got an answer that is not a target's, with its verdict and reason.";
+        "A caller got a response that is not a target's, with its verdict and reason.";
         "See the page on unserved requests.";
     702 WRONG_OWNER Info FREQUENT; "request {request} refused by target {target}: {detail}";
-        "The target does not own the key any more; the recorded owners are read.";
+        "The target does not own the key any more; the request waits for the next assignments.";
         "Nothing, if it ends within a second.";
     703 NO_CONNECTION Info FREQUENT; "request {request} not sent to target {target}: {detail}";
-        "The target took no connection; nothing was sent.";
-        "If it lasts, look at the target and at the path to it.";
+        "The target accepted no connection; nothing was sent.";
+        "If it lasts, look at the target and at the network to it.";
     999 UNKNOWN_CODE Error FREQUENT; "unlisted event: {detail}";
         "The program used a number that is not in this catalogue."; "Report it to the developers.";
 }
 
-/// Returns the kind of a number.
+/// Returns the kind with a number, or the last kind, [`UNKNOWN_CODE`], if it is not listed.
 pub fn find_kind(code: EventCode) -> &'static EventKind {
-    let place = CATALOGUE.binary_search_by_key(&code, |kind| kind.code);
-    &CATALOGUE[place.unwrap_or(CATALOGUE.len() - 1)]
+    let index = CATALOGUE.binary_search_by_key(&code, |kind| kind.code);
+    &CATALOGUE[index.unwrap_or(CATALOGUE.len() - 1)]
 }
 
 impl EventKind {
-    /// Returns the text of an event of this kind.
-    pub fn format_text(&self, about: &EventFields) -> String {
+    /// Returns the template with the fields of an event; `-` stands for an absent field.
+    pub fn format_text(&self, fields: &EventFields) -> String {
         let mut text = String::with_capacity(96);
         let mut rest = self.template;
         while let Some((before, after)) = rest.split_once('{') {
             text.push_str(before);
-            let (place, after) = after.split_once('}').unwrap_or((after, ""));
-            text.push_str(about.field(place).unwrap_or("-"));
+            let (name, after) = after.split_once('}').unwrap_or((after, ""));
+            text.push_str(fields.field(name).unwrap_or("-"));
             rest = after;
         }
         text.push_str(rest);
         text
     }
 
-    /// Returns the row of this kind in `docs/EVENTS.md`.
+    /// Returns the table row of this kind in `docs/EVENTS.md`.
     pub fn doc_row(&self) -> String {
         format!(
             "| `{}` | {} | {} | {} | {} |",
@@ -189,7 +190,7 @@
 }
 
 impl Level {
-    /// Returns the word that logs and docs use.
+    /// Returns the lower-case name, as in logs and docs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Debug => "debug",
@@ -212,8 +213,8 @@
 }
 
 impl EventFields {
-    fn field(&self, place: &str) -> Option<&str> {
-        match place {
+    fn field(&self, name: &str) -> Option<&str> {
+        match name {
             "request" => self.request.as_deref(),
             "key" => self.key.as_deref(),
             "target" => self.target.as_deref(),
--- a/crates/cowslipcross/src/events/hybrid_clock.rs
+++ b/crates/cowslipcross/src/events/hybrid_clock.rs
@@ -1,4 +1,5 @@
-//! A hybrid logical clock: wall time that never goes back and follows what other processes say.
+//! A hybrid logical clock: wall-clock time that never goes back, combined with a counter that
+//! orders events of different processes by cause.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,34 +7,34 @@
     tokio::time::Instant,
 };
 
-/// Bits of the number that order the moments of one millisecond.
+/// Low bits of an encoded timestamp that hold the counter.
 const COUNT_BITS: u32 = 20;
-const COUNT_MOST: u32 = (1 << COUNT_BITS) - 1;
+const MAX_COUNT: u32 = (1 << COUNT_BITS) - 1;
 
-/// A moment of a hybrid logical clock.
+/// A timestamp of a hybrid logical clock.
 ///
-/// If one event can have caused another, its stamp is the lower one.
+/// If one event can have caused another, its timestamp is the lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HybridTimestamp {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub wall: u64,
-    /// Orders the moments of one millisecond.
+    /// Counter that orders timestamps of the same millisecond.
     pub count: u32,
 }
 
-/// The clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Debug)]
 pub(super) struct HybridClock {
-    wall: u64,
+    start_wall: u64,
     start: Instant,
     last: HybridTimestamp,
 }
 
 impl Default for HybridClock {
     fn default() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            wall: since.map_or(0, |it| it.as_millis() as u64),
+            start_wall: since_epoch.map_or(0, |it| it.as_millis() as u64),
             start: Instant::now(),
             last: HybridTimestamp::default(),
         }
@@ -41,9 +42,9 @@
 }
 
 impl HybridClock {
-    /// Returns the next stamp.
+    /// Advances the clock and returns its new timestamp.
     pub fn advance(&mut self) -> HybridTimestamp {
-        let wall = self.now();
+        let wall = self.wall_time();
         self.last = match wall > self.last.wall {
             true => HybridTimestamp { wall, count: 0 },
             false => self.last.next(),
@@ -51,20 +52,21 @@
         self.last
     }
 
-    /// Moves the clock to a stamp from outside, if that is later.
-    pub fn observe_timestamp(&mut self, stamp: HybridTimestamp) {
-        self.last = self.last.max(stamp);
+    /// Moves the clock to the timestamp of another process, if that is later.
+    pub fn observe_timestamp(&mut self, timestamp: HybridTimestamp) {
+        self.last = self.last.max(timestamp);
     }
 
-    fn now(&self) -> u64 {
-        self.wall + self.start.elapsed().as_millis() as u64
+    fn wall_time(&self) -> u64 {
+        self.start_wall + self.start.elapsed().as_millis() as u64
     }
 }
 
-/// The stamp as one number, as messages carry it.
+/// Encodes the timestamp as one number for messages; a counter that does not fit is cut to the
+/// maximum.
 impl From<HybridTimestamp> for u64 {
-    fn from(stamp: HybridTimestamp) -> Self {
-        (stamp.wall << COUNT_BITS) | Self::from(stamp.count.min(COUNT_MOST))
+    fn from(timestamp: HybridTimestamp) -> Self {
+        (timestamp.wall << COUNT_BITS) | Self::from(timestamp.count.min(MAX_COUNT))
     }
 }
 
@@ -72,8 +74,8 @@
     fn from(number: u64) -> Self {
         Self {
             wall: number >> COUNT_BITS,
-            // The lowest bits fit.
-            count: (number & u64::from(COUNT_MOST)) as u32,
+            // The mask leaves 20 bits, which fit in 32.
+            count: (number & u64::from(MAX_COUNT)) as u32,
         }
     }
 }
--- a/crates/cowslipcross/src/events/logger.rs
+++ b/crates/cowslipcross/src/events/logger.rs
@@ -1,4 +1,4 @@
-//! The log of a process: one line an event.
+//! The log of a process: one line per event.
 
 use {
     spdlog::{
@@ -9,25 +9,25 @@
     std::{num::NonZeroUsize, sync::Arc},
 };
 
-/// Lines that may wait to be written.
-const QUEUE: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
+/// Lines queued for the writer thread; further ones are dropped.
+const QUEUE_CAPACITY: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
 
-/// Result of making a logger.
+/// Result of building a logger.
 pub type Result<T> = std::result::Result<T, spdlog::Error>;
 
-/// Returns a logger that writes events of `least` and above to standard output, each as it is given.
+/// Returns a logger that writes lines of `min_level` and above, unformatted, to standard output.
 ///
-/// A thread of its own writes; a line that finds its queue full is dropped, so that a reader that
-/// does not read holds nobody up.
+/// A separate thread writes, and lines are dropped when its queue is full, so that a blocked reader
+/// of the output does not block the process.
 ///
 /// # Errors
-/// Passes on what the logging library refuses.
-pub fn stdout(least: Level) -> Result<Arc<Logger>> {
+/// Fails if the logging library rejects the sink or the logger.
+pub fn stdout(min_level: Level) -> Result<Arc<Logger>> {
     let sink = StdStreamSink::builder()
         .stdout()
         .formatter(PatternFormatter::new(pattern!("{payload}{eol}")))
         .build_arc()?;
-    let writer = ThreadPool::builder().capacity(QUEUE).build_arc()?;
+    let writer = ThreadPool::builder().capacity(QUEUE_CAPACITY).build_arc()?;
     let queue = AsyncPoolSink::builder()
         .sink(sink)
         .thread_pool(writer)
@@ -35,6 +35,6 @@
         .build_arc()?;
     Logger::builder()
         .sink(queue)
-        .level_filter(LevelFilter::MoreSevereEqual(least))
+        .level_filter(LevelFilter::MoreSevereEqual(min_level))
         .build_arc()
 }
--- a/crates/cowslipcross/src/events/ring.rs
+++ b/crates/cowslipcross/src/events/ring.rs
@@ -1,4 +1,4 @@
-//! The latest events of a process.
+//! Ring buffer of the latest events of a process.
 
 use {
     super::{
@@ -13,61 +13,61 @@
 /// A recorded event.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Number in this run of the process, from 1 and without gaps.
+    /// Sequence number in this run of the process, from 1 without gaps.
     pub seq: u64,
     /// When it happened.
     #[serde(flatten)]
-    pub stamp: HybridTimestamp,
+    pub timestamp: HybridTimestamp,
     /// Instance that recorded it.
     pub process: Name,
     /// Data centre of that instance.
     pub data_centre: Name,
-    /// Run of that instance.
+    /// Incarnation of that instance.
     pub incarnation: Incarnation,
-    /// Number of the kind.
+    /// Number of the kind, such as `CC0101`.
     pub code: String,
-    /// Weight.
+    /// Severity.
     pub level: Level,
-    /// What happened, in words.
+    /// What happened, as text.
     pub text: String,
-    /// Request or attempt.
+    /// Request id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<Name>,
-    /// Key.
+    /// Key or range of keys.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<Name>,
-    /// Target.
+    /// Target id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target: Option<Name>,
-    /// Instance that the event is about.
+    /// Name of the instance that the event concerns.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub instance: Option<Name>,
 }
 
-/// Events of a process for an operator.
+/// Response to an operator's request for events.
 #[derive(Clone, Debug, Serialize)]
 pub struct EventPage {
-    /// Events, the oldest first.
+    /// Events, oldest first.
     pub events: Vec<Event>,
-    /// Events that the ring has dropped since the start of the process.
+    /// Events dropped from the full ring since the start of the process.
     pub dropped: u64,
-    /// Events beyond the rate of their kind, by code, that were counted only.
+    /// Number of events by code that exceeded the rate of their kind and were not recorded.
     pub skipped: BTreeMap<String, u64>,
 }
 
-/// A bounded queue of events.
+/// Ring buffer of events with a rate limit per kind.
 #[derive(Debug)]
 pub(super) struct Ring {
     capacity: usize,
     events: VecDeque<Event>,
     seq: u64,
     dropped: u64,
-    rates: BTreeMap<u16, Rate>,
+    rate_limits: BTreeMap<u16, RateLimit>,
 }
 
-/// Events of one kind within one second.
+/// Rate limit of one kind, counted per second of wall-clock time.
 #[derive(Debug, Default)]
-struct Rate {
+struct RateLimit {
     second: u64,
     count: u32,
     skipped: u64,
@@ -76,29 +76,29 @@
 impl Event {
     pub(super) fn new(
         origin: &Origin,
-        stamp: HybridTimestamp,
+        timestamp: HybridTimestamp,
         kind: &EventKind,
-        about: EventFields,
+        fields: EventFields,
     ) -> Self {
         Self {
             seq: 0,
-            stamp,
+            timestamp,
             process: origin.process.clone(),
             data_centre: origin.data_centre.clone(),
             incarnation: origin.incarnation,
             code: kind.code.to_string(),
             level: kind.level,
-            text: kind.format_text(&about),
-            request: about.request,
-            key: about.key,
-            target: about.target,
-            instance: about.instance,
+            text: kind.format_text(&fields),
+            request: fields.request,
+            key: fields.key,
+            target: fields.target,
+            instance: fields.instance,
         }
     }
 
     /// Returns the event as one line of JSON.
-    pub(super) fn json(&self) -> String {
-        // Its fields are texts and numbers, which always have a JSON form.
+    pub(super) fn to_json(&self) -> String {
+        // Serialization cannot fail: the fields are strings and numbers.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
@@ -110,23 +110,23 @@
             events: VecDeque::new(),
             seq: 0,
             dropped: 0,
-            rates: BTreeMap::new(),
+            rate_limits: BTreeMap::new(),
         }
     }
 
-    /// Returns whether an event of this kind is within the rate, and counts it if not.
-    pub fn admit(&mut self, kind: &EventKind, stamp: HybridTimestamp) -> bool {
+    /// Returns whether an event of this kind is within its rate; counts it as skipped if not.
+    pub fn admit(&mut self, kind: &EventKind, timestamp: HybridTimestamp) -> bool {
         match kind.rate {
-            Some(limit) => self
-                .rates
+            Some(max_rate) => self
+                .rate_limits
                 .entry(kind.code.0)
                 .or_default()
-                .admit(stamp, limit),
+                .admit(timestamp, max_rate),
             None => true,
         }
     }
 
-    /// Numbers and keeps an event, and drops the oldest one from a full ring.
+    /// Assigns the sequence number and stores the event; a full ring drops its oldest event.
     pub fn push(&mut self, mut event: Event) -> Event {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -140,24 +140,27 @@
 
     pub fn page(&self, after: u64) -> EventPage {
         let from = self.events.partition_point(|event| event.seq <= after);
-        let skipped = self.rates.iter().filter(|(_, rate)| rate.skipped > 0);
+        let skipped = self
+            .rate_limits
+            .iter()
+            .filter(|(_, limit)| limit.skipped > 0);
         EventPage {
             events: self.events.range(from..).cloned().collect(),
             dropped: self.dropped,
             skipped: skipped
-                .map(|(code, rate)| (super::EventCode(*code).to_string(), rate.skipped))
+                .map(|(code, limit)| (super::EventCode(*code).to_string(), limit.skipped))
                 .collect(),
         }
     }
 }
 
-impl Rate {
-    fn admit(&mut self, stamp: HybridTimestamp, limit: u32) -> bool {
-        let second = stamp.wall / 1000;
+impl RateLimit {
+    fn admit(&mut self, timestamp: HybridTimestamp, max_rate: u32) -> bool {
+        let second = timestamp.wall / 1000;
         if second > self.second {
             (self.second, self.count) = (second, 0);
         }
-        if self.count >= limit {
+        if self.count >= max_rate {
             self.skipped += 1;
             return false;
         }
