--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of the instance.
+//! Reads the local clocks.
 
 use {
     cowslip_decide::election::LocalTime,
@@ -7,15 +7,15 @@
     tokio::time::Instant,
 };
 
-/// Returns the present moment by the runtime's clock and by the one that counts suspensions.
+/// Returns the time of the runtime's clock and of the clock that also runs while the system sleeps.
 ///
-/// Where the system has no such clock, suspensions are not noticed.
+/// Falls back to the monotonic clock, which does not count sleep, where `CLOCK_BOOTTIME` is missing.
 pub fn local_time() -> LocalTime {
-    let boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
+    let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
         .map_or(Duration::ZERO, Duration::from);
     LocalTime {
         monotonic: Instant::now(),
-        since_boot: boot,
+        since_boot,
     }
 }
--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether the instance is ready, and the operators' pages.
+//! HTTP endpoints for the platform's readiness probe and for operators.
 
 use {
     crate::{
@@ -21,18 +21,18 @@
     },
 };
 
-/// Time for a head, and for which a connection may be idle.
-const IDLE: Duration = Duration::from_secs(10);
-/// Longest life of a connection.
-const LIFE: Duration = Duration::from_secs(60);
-/// Connections of one port at the same time; further ones are closed at once.
-const CONNECTIONS: u32 = 64;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Word before the token in its header.
-const SCHEME: &str = "Bearer ";
+/// Time in which the head of a request must arrive, which also limits how long a connection is idle.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which a connection is closed.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
+/// Concurrent connections to one port; further ones are closed at once.
+const MAX_CONNECTIONS: u32 = 64;
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Scheme in the `Authorization` header, before the token.
+const AUTH_SCHEME: &str = "Bearer ";
 
-/// Answers whether the instance is ready.
+/// Serves the readiness probe.
 pub async fn serve_readiness(context: Rc<Context>, listener: TcpListener) {
     serve(listener, move |request| match request.uri().path() {
         READINESS_PATH if context.is_ready() => plain(StatusCode::OK, "ready"),
@@ -42,20 +42,20 @@
     .await;
 }
 
-/// Answers operators.
+/// Serves the operators' pages.
 pub async fn serve_operators(context: Rc<Context>, listener: TcpListener) {
-    serve(listener, move |request| page(&context, request)).await;
+    serve(listener, move |request| render_page(&context, request)).await;
 }
 
-fn page(context: &Context, request: &Request<Incoming>) -> Response<Body> {
+fn render_page(context: &Context, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/healthz" => plain(StatusCode::OK, "ok"),
         "/metrics" => Response::new(Full::new(context.metrics.render(context).into())),
-        "/status" | "/events" if !granted(request.headers(), &context.settings.token) => {
+        "/status" | "/events" if !is_authorized(request.headers(), &context.settings.token) => {
             plain(StatusCode::UNAUTHORIZED, "token missing or wrong")
         }
         "/status" => json(&Status::from(context)),
-        "/events" => match after(request.uri().query().unwrap_or_default()) {
+        "/events" => match parse_after(request.uri().query().unwrap_or_default()) {
             Some(after) => json(&context.events.events_after(after)),
             None => plain(StatusCode::BAD_REQUEST, "query is not after=NUMBER"),
         },
@@ -63,17 +63,18 @@
     }
 }
 
-/// Returns whether the headers bear the token; without a token nothing is granted.
-fn granted(headers: &HeaderMap, token: &str) -> bool {
+/// Returns whether the headers contain the configured token; an empty token authorizes nobody.
+fn is_authorized(headers: &HeaderMap, token: &str) -> bool {
     let given = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
-        .and_then(|value| value.strip_prefix(SCHEME));
-    !token.is_empty() && given.is_some_and(|given| same(given.as_bytes(), token.as_bytes()))
+        .and_then(|value| value.strip_prefix(AUTH_SCHEME));
+    !token.is_empty()
+        && given.is_some_and(|given| equals_constant_time(given.as_bytes(), token.as_bytes()))
 }
 
-/// Compares in a time that does not tell how many bytes are right.
-fn same(left: &[u8], right: &[u8]) -> bool {
+/// Compares in a time that does not depend on how many bytes match.
+fn equals_constant_time(left: &[u8], right: &[u8]) -> bool {
     let differing = left
         .iter()
         .zip(right)
@@ -81,8 +82,8 @@
     left.len() == right.len() && differing == 0
 }
 
-/// Returns the number that the events must be above.
-fn after(query: &str) -> Option<u64> {
+/// Parses `after=NUMBER`; an empty query means 0, and `None` an invalid query.
+fn parse_after(query: &str) -> Option<u64> {
     match query {
         "" => Some(0),
         _ => query.strip_prefix("after=")?.parse().ok(),
@@ -91,45 +92,47 @@
 
 async fn serve(
     listener: TcpListener,
-    answer: impl Fn(&Request<Incoming>) -> Response<Body> + 'static,
+    handler: impl Fn(&Request<Incoming>) -> Response<Body> + 'static,
 ) {
-    let (answer, open) = (Rc::new(answer), Rc::new(Cell::new(0)));
+    let (handler, open) = (Rc::new(handler), Rc::new(Cell::new(0)));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() < CONNECTIONS {
-            spawn_local(connection(stream, answer.clone(), open.clone()));
+        if open.get() < MAX_CONNECTIONS {
+            spawn_local(serve_connection(stream, handler.clone(), open.clone()));
         }
     }
 }
 
-/// Serves one connection for at most its life.
-async fn connection(
+/// Serves one connection until it ends or its lifetime is over.
+async fn serve_connection(
     stream: TcpStream,
-    answer: Rc<impl Fn(&Request<Incoming>) -> Response<Body> + 'static>,
+    handler: Rc<impl Fn(&Request<Incoming>) -> Response<Body> + 'static>,
     open: Rc<Cell<u32>>,
 ) {
     let _counted = Counted::new(&open);
     let service = service_fn(move |request| {
-        let response = answer(&request);
+        let response = handler(&request);
         async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // Nothing depends on how a question ends.
-    let _ = timeout(LIFE, connection).await;
+    // How the connection ends does not matter.
+    let _ = timeout(CONNECTION_LIFETIME, connection).await;
 }
 
 fn json(value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(body) => {
             let mut response = Response::new(Full::new(body.into()));
-            let kind = header::HeaderValue::from_static("application/json");
-            response.headers_mut().insert(header::CONTENT_TYPE, kind);
+            let content_type = header::HeaderValue::from_static("application/json");
+            response
+                .headers_mut()
+                .insert(header::CONTENT_TYPE, content_type);
             response
         }
         Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "no JSON form"),
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -1,8 +1,8 @@
-//! A running instance; all that must last lies in the platform's store.
+//! Starts the tasks of an instance; everything durable is in the platform's store.
 //!
 //! Every instance reads the configuration and the targets from the store. One of them, the leader,
-//! records who owns which keys and grants them; the others follow the recorded owners. All duties
-//! of an instance are tasks of one thread: a fifth of a core gains nothing from more.
+//! assigns keys to targets, records the assignments and grants them; the others use the recorded
+//! assignments. All tasks run on one thread, as an instance may have only a fifth of a core.
 
 use {
     crate::{
@@ -26,14 +26,14 @@
     },
 };
 
-/// Result of a run.
+/// Result of starting or running an instance.
 pub type Result<T> = eyre::Result<T>;
 
-/// Connections that the system keeps until they are accepted.
-const BACKLOG: u32 = 1024;
+/// Connections that the kernel queues until they are accepted.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// Period in which the log tells what was left out of it.
-const THINNED: Duration = Duration::from_secs(5);
+/// Interval of the events that report skipped events.
+const SKIPPED_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an instance with the settings of a file until a signal stops it.
 ///
@@ -47,18 +47,18 @@
 }
 
 async fn serve(path: PathBuf, overrides: Overrides) -> Result<()> {
-    // First of all: until they are awaited, signals end the process.
+    // Registered first: until then these signals terminate the process.
     let terminate = signal(SignalKind::terminate())?;
     let reload = signal(SignalKind::hangup())?;
     let settings = process::load(&path, &overrides)?;
     let listen = settings.listen.clone();
     let callers = bind(listen.callers)?;
     let readiness = bind(listen.readiness)?;
-    let beats = UdpSocket::bind(listen.heartbeats)
+    let heartbeats = UdpSocket::bind(listen.heartbeats)
         .await
         .wrap_err_with(|| format!("cannot listen on {}", listen.heartbeats))?;
-    let context = Rc::new(Context::new(settings, beats)?);
-    note_start(&context);
+    let context = Rc::new(Context::new(settings, heartbeats)?);
+    record_start(&context);
     spawn_local(endpoints::serve_readiness(context.clone(), readiness));
     match bind(listen.operators) {
         Ok(listener) => drop(spawn_local(endpoints::serve_operators(
@@ -76,15 +76,15 @@
     spawn_local(permit::serve(context.clone()));
     spawn_local(seat::hold(context.clone()));
     spawn_local(keep::keep(context.clone()));
-    spawn_local(tell_thinned(context.clone()));
-    spawn_local(reloads(context.clone(), path, overrides, reload));
-    let conns = entry::Conns::default();
-    let accepting = spawn_local(entry::accept(context.clone(), callers, conns.clone()));
-    shutdown::drain_after_signal(terminate, &context, &conns, accepting).await;
+    spawn_local(report_skipped_events(context.clone()));
+    spawn_local(reload_settings(context.clone(), path, overrides, reload));
+    let connections = entry::Conns::default();
+    let accept_task = spawn_local(entry::accept(context.clone(), callers, connections.clone()));
+    shutdown::drain_after_signal(terminate, &context, &connections, accept_task).await;
     Ok(())
 }
 
-fn note_start(context: &Context) {
+fn record_start(context: &Context) {
     let detail = format!(
         "callers {}, store {}",
         context.settings.listen.callers, context.settings.store
@@ -98,8 +98,13 @@
     );
 }
 
-/// Reads the settings again at each hang-up signal; what is wrong leaves the former in force.
-async fn reloads(context: Rc<Context>, path: PathBuf, overrides: Overrides, mut signal: Signal) {
+/// Reloads the settings at each hang-up signal; if they are invalid, the previous ones stay in force.
+async fn reload_settings(
+    context: Rc<Context>,
+    path: PathBuf,
+    overrides: Overrides,
+    mut signal: Signal,
+) {
     while signal.recv().await.is_some() {
         match process::load(&path, &overrides) {
             Ok(settings) => {
@@ -111,30 +116,30 @@
     }
 }
 
-/// Tells now and then how many events were left out of the log.
-async fn tell_thinned(context: Rc<Context>) {
-    let mut told = BTreeMap::new();
+/// Records how many events were skipped by their rate, whenever the numbers have changed.
+async fn report_skipped_events(context: Rc<Context>) {
+    let mut reported = BTreeMap::new();
     loop {
-        sleep(THINNED).await;
+        sleep(SKIPPED_REPORT_INTERVAL).await;
         let skipped = context.events.events_after(u64::MAX).skipped;
-        if skipped != told {
-            let kinds = skipped
+        if skipped != reported {
+            let counts = skipped
                 .iter()
                 .map(|(code, count)| format!("{code}: {count}"));
-            let kinds: Vec<String> = kinds.collect();
-            context.record_event(events::EVENTS_SKIPPED, kinds.join(", "));
-            told = skipped;
+            let counts: Vec<String> = counts.collect();
+            context.record_event(events::EVENTS_SKIPPED, counts.join(", "));
+            reported = skipped;
         }
     }
 }
 
-/// Listens on an address.
+/// Listens on a TCP address.
 fn bind(address: SocketAddr) -> Result<TcpListener> {
     let listen = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     listen().wrap_err_with(|| format!("cannot listen on {address}"))
 }
--- a/crates/cowslipcross/src/lib.rs
+++ b/crates/cowslipcross/src/lib.rs
@@ -1,4 +1,4 @@
-//! An entry instance of cowslipcross: the way of a request, the leader's duty, and what they share.
+//! An instance of cowslipcross: request routing, the leader's tasks and the state they share.
 
 mod clock;
 mod context;
--- a/crates/cowslipcross/src/main.rs
+++ b/crates/cowslipcross/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of an entry instance.
+//! Command line of an instance.
 
 use {
     clap::{Arg, ArgAction, Command, value_parser},
@@ -15,7 +15,7 @@
   cowslipcross --settings instance.toml
   cowslipcross --settings instance.toml --set listen.callers=10.1.0.4:8080 --set name=entry-4
 
-Exit codes: 0 stopped in order, 1 could not start, 2 usage.";
+Exit codes: 0 stopped by a signal, 1 failed to start, 2 invalid usage.";
 
 fn main() -> ExitCode {
     match run() {
@@ -44,14 +44,14 @@
                 .long("settings")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Settings of the process, in TOML; by default where the platform puts them"),
+                .help("Settings file in TOML; by default the path that the platform sets"),
         )
         .arg(
             Arg::new("set")
                 .long("set")
                 .value_name("PATH=VALUE")
                 .action(ArgAction::Append)
-                .help("Replaces one field of the settings, such as listen.callers=10.1.0.4:8080"),
+                .help("Overrides one field of the settings, such as listen.callers=10.1.0.4:8080"),
         )
         .after_help(EXAMPLES)
 }
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms for operators.
+//! Prometheus metrics of an instance.
 
 mod registry;
 
@@ -15,82 +15,91 @@
     std::time::Duration,
 };
 
-/// Counters and histograms of an instance.
+/// Counters, gauges and histograms of an instance.
 pub struct Metrics {
     registry: Registry,
-    answers: IntCounterVec,
-    times: HistogramVec,
-    bad: IntCounterVec,
+    responses: IntCounterVec,
+    response_times: HistogramVec,
+    bad_requests: IntCounterVec,
     attempts: IntCounterVec,
-    store: IntCounterVec,
-    orders: IntCounterVec,
-    datagrams: IntCounter,
-    silent: IntCounter,
-    repeats: IntCounterVec,
+    store_calls: IntCounterVec,
+    commands: IntCounterVec,
+    bad_datagrams: IntCounter,
+    permit_timeouts: IntCounter,
+    retries: IntCounterVec,
     targets: IntGauge,
-    unread: IntGauge,
-    config: IntGauge,
-    leads: IntGauge,
-    active: IntGauge,
+    unreadable_reports: IntGauge,
+    config_version: IntGauge,
+    is_leader: IntGauge,
+    active_requests: IntGauge,
     instances: IntGauge,
-    ages: GaugeVec,
+    view_ages: GaugeVec,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let mut all = Registry::default();
-        let answer = &["rank", "kind", "verdict", "reason"];
+        let mut registry = Registry::default();
+        let response_labels = &["rank", "kind", "verdict", "reason"];
         Self {
-            answers: all.counters("answers_total", "Answers to callers.", answer),
-            times: all.histogram(
+            responses: registry.counter_with_labels(
+                "answers_total",
+                "Responses to callers.",
+                response_labels,
+            ),
+            response_times: registry.histogram(
                 "answer_seconds",
-                "Time from the head of a request to the answer.",
+                "Time from the head of a request to the response.",
                 &["rank", "verdict"],
             ),
-            bad: all.counters(
+            bad_requests: registry.counter_with_labels(
                 "bad_requests_total",
-                "Requests that are not valid.",
+                "Invalid requests of callers.",
                 &["status"],
             ),
-            attempts: all.counters(
+            attempts: registry.counter_with_labels(
                 "attempts_total",
-                "Ends of attempts at targets.",
+                "Attempts to send requests to targets, by how they ended.",
                 &["service", "end"],
             ),
-            store: all.counters("store_calls_total", "Calls to the store.", &["what", "end"]),
-            orders: all.counters(
+            store_calls: registry.counter_with_labels(
+                "store_calls_total",
+                "Calls to the store.",
+                &["what", "end"],
+            ),
+            commands: registry.counter_with_labels(
                 "orders_total",
-                "Orders to owners of keys.",
+                "Grants and releases sent to targets, by how they ended.",
                 &["order", "end"],
             ),
-            datagrams: all.counter(
+            bad_datagrams: registry.counter(
                 "bad_datagrams_total",
                 "Datagrams that could not be sent or read.",
             ),
-            silent: all.counter(
+            permit_timeouts: registry.counter(
                 "silent_holders_total",
-                "Questions for a permit that got no reply.",
+                "Permit coordinators passed over because they did not reply.",
             ),
-            repeats: all.counters(
+            retries: registry.counter_with_labels(
                 "repeats_total",
-                "Repeated sends that were asked of the instance's share of the bound.",
+                "Retries, by whether the instance's share of the retry budget allowed them.",
                 &["service", "end"],
             ),
-            targets: all.gauge("targets", "Targets that report themselves."),
-            unread: all.gauge(
+            targets: registry.gauge("targets", "Targets that report themselves."),
+            unreadable_reports: registry.gauge(
                 "unreadable_reports",
                 "Reports of targets that cannot be read.",
             ),
-            config: all.gauge("config_version", "Version of the configuration in force."),
-            leads: all.gauge("leads", "1 while this instance is the leader."),
-            active: all.gauge("requests_in_progress", "Requests in progress."),
-            instances: all.gauge("instances", "Instances that the leader hears of."),
-            ages: all.gauges(
+            config_version: registry
+                .gauge("config_version", "Version of the configuration in force."),
+            is_leader: registry.gauge("leads", "1 while this instance is the leader."),
+            active_requests: registry.gauge("requests_in_progress", "Requests in progress."),
+            instances: registry.gauge("instances", "Instances as counted by the leader."),
+            view_ages: registry.gauge_with_labels(
                 "view_age_seconds",
-                "Time since a view was confirmed last.",
+                "Time since data was last confirmed to be up to date.",
                 &["view"],
             ),
-            registry: all,
+            registry,
         }
     }
 }
@@ -101,31 +110,33 @@
         self.registry.names()
     }
 
-    /// Counts an answer to a caller.
-    pub fn count_response(&self, route: &Route, answer: &Answer, time: Duration) {
-        let rank = route.priority.to_string();
+    /// Counts a response to a caller and its duration since the head of the request.
+    pub fn count_response(&self, route: &Route, answer: &Answer, duration: Duration) {
+        let priority = route.priority.to_string();
         let kind = match route.idempotent {
             true => "repeatable",
             false => "once",
         };
         let reason = answer.reason().map_or("", |it| it.as_str());
         let verdict = answer.verdict().as_str();
-        self.answers
-            .with_label_values(&[rank.as_str(), kind, verdict, reason])
+        self.responses
+            .with_label_values(&[priority.as_str(), kind, verdict, reason])
             .inc();
-        self.times
-            .with_label_values(&[rank.as_str(), verdict])
-            .observe(time.as_secs_f64());
+        self.response_times
+            .with_label_values(&[priority.as_str(), verdict])
+            .observe(duration.as_secs_f64());
     }
 
-    /// Counts a request that is not valid.
+    /// Counts an invalid request.
     pub fn count_bad_request(&self, bad: &BadRequest) {
-        self.bad.with_label_values(&[bad.status().as_str()]).inc();
+        self.bad_requests
+            .with_label_values(&[bad.status().as_str()])
+            .inc();
     }
 
-    /// Counts the end of an attempt.
+    /// Counts an attempt to send a request to a target.
     pub fn count_attempt(&self, service: &str, end: &End) {
-        let word = match end {
+        let outcome = match end {
             End::Whole(whole) if whole.status.is_server_error() => "error",
             End::Whole(_) => "answer",
             End::Unrun(_) => "refused",
@@ -133,66 +144,67 @@
             End::Broken(_) => "broken",
             End::Late => "late",
         };
-        self.attempts.with_label_values(&[service, word]).inc();
+        self.attempts.with_label_values(&[service, outcome]).inc();
     }
 
-    /// Counts a repeated send that was wished for.
+    /// Counts a retry that was requested, and whether the retry budget allowed it.
     pub fn count_retry(&self, service: &str, allowed: bool) {
         let end = if allowed { "sent" } else { "refused" };
-        self.repeats.with_label_values(&[service, end]).inc();
+        self.retries.with_label_values(&[service, end]).inc();
     }
 
     /// Counts a call to the store.
     pub fn count_store_call(&self, what: &str, ok: bool) {
         let end = if ok { "ok" } else { "failed" };
-        self.store.with_label_values(&[what, end]).inc();
+        self.store_calls.with_label_values(&[what, end]).inc();
     }
 
-    /// Counts an order to the owner of keys.
-    pub fn count_command(&self, order: &Command, done: &CommandOutcome) {
-        let order = match order {
+    /// Counts a command to a target.
+    pub fn count_command(&self, command: &Command, outcome: &CommandOutcome) {
+        let kind = match command {
             Command::Grant { .. } => "grant",
             Command::Release { .. } => "release",
         };
-        let end = match done {
+        let end = match outcome {
             CommandOutcome::Accepted | CommandOutcome::Released(_) => "done",
             CommandOutcome::StaleFence => "outdated",
             CommandOutcome::Unsent => "unsent",
             CommandOutcome::TargetEnded => "ended",
             CommandOutcome::Unknown => "unknown",
         };
-        self.orders.with_label_values(&[order, end]).inc();
+        self.commands.with_label_values(&[kind, end]).inc();
     }
 
     /// Counts a datagram that could not be sent or read.
     pub fn count_bad_datagram(&self) {
-        self.datagrams.inc();
+        self.bad_datagrams.inc();
     }
 
-    /// Counts a question for a permit that got no reply.
+    /// Counts a coordinator that did not reply to requests for a permit.
     pub fn count_permit_timeout(&self) {
-        self.silent.inc();
+        self.permit_timeouts.inc();
     }
 
-    /// Sets the number of targets, and of reports that cannot be read.
-    pub fn set_target_reports(&self, targets: usize, unread: usize) {
+    /// Sets the number of targets that report themselves and of unreadable reports.
+    pub fn set_target_reports(&self, targets: usize, unreadable: usize) {
         self.targets.set(targets as i64);
-        self.unread.set(unread as i64);
+        self.unreadable_reports.set(unreadable as i64);
     }
 
-    /// Returns all in the text format of Prometheus.
+    /// Updates the gauges from the context and returns all metrics in the Prometheus text format.
     pub fn render(&self, context: &Context) -> Vec<u8> {
         let version = context.config.borrow().as_ref().map_or(0, |it| it.version);
-        self.config.set(version as i64);
-        self.leads.set(i64::from(context.is_leader()));
-        self.active.set(i64::from(context.active_requests.get()));
+        self.config_version.set(version as i64);
+        self.is_leader.set(i64::from(context.is_leader()));
+        self.active_requests
+            .set(i64::from(context.active_requests.get()));
         self.instances.set(i64::from(context.instance_count.get()));
-        self.set_ages(ViewAges::from(context));
+        self.set_view_ages(ViewAges::from(context));
         self.registry.render()
     }
 
-    /// Sets the ages of the views that there are.
-    fn set_ages(&self, ages: ViewAges) {
+    /// Sets the ages of the data that was ever confirmed.
+    fn set_view_ages(&self, ages: ViewAges) {
         let views = [
             ("configuration", ages.config_ms),
             ("targets", ages.targets_ms),
@@ -201,7 +213,7 @@
         for (view, age) in views {
             if let Some(age) = age {
                 let seconds = Duration::from_millis(age).as_secs_f64();
-                self.ages.with_label_values(&[view]).set(seconds);
+                self.view_ages.with_label_values(&[view]).set(seconds);
             }
         }
     }
--- a/crates/cowslipcross/src/metrics/registry.rs
+++ b/crates/cowslipcross/src/metrics/registry.rs
@@ -1,19 +1,19 @@
-//! Makes metrics, and knows their names.
+//! Creates metrics and registers them by name.
 
 use prometheus::{
     Encoder, GaugeVec, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts,
-    Registry as Inner, TextEncoder, core::Collector,
+    Registry as PrometheusRegistry, TextEncoder, core::Collector,
 };
 
-/// Beginning of every name.
-const PREFIX: &str = "cowslipcross_";
-/// Bounds of histograms of times, in seconds.
-const TIMES: [f64; 9] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0];
+/// Prefix of every metric name.
+const NAME_PREFIX: &str = "cowslipcross_";
+/// Upper bounds of the buckets of durations, in seconds.
+const DURATION_BUCKETS_SECONDS: [f64; 9] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0];
 
 /// All metrics of a process.
 #[derive(Default)]
 pub struct Registry {
-    inner: Inner,
+    inner: PrometheusRegistry,
     names: Vec<String>,
 }
 
@@ -23,7 +23,8 @@
         &self.names
     }
 
-    /// Returns all in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format; if they cannot be encoded, a comment with the
+    /// error.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.inner.gather(), &mut text) {
@@ -32,47 +33,53 @@
         text
     }
 
-    /// Makes counters with labels.
-    pub fn counters(&mut self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        let made = IntCounterVec::new(options(name, help), labels);
-        self.register(made.expect("valid metric"))
+    /// Registers a counter with labels.
+    pub fn counter_with_labels(
+        &mut self,
+        name: &str,
+        help: &str,
+        labels: &[&str],
+    ) -> IntCounterVec {
+        let metric = IntCounterVec::new(options(name, help), labels);
+        self.register(metric.expect("valid metric"))
     }
 
-    /// Makes a counter.
+    /// Registers a counter.
     pub fn counter(&mut self, name: &str, help: &str) -> IntCounter {
-        let made = IntCounter::with_opts(options(name, help));
-        self.register(made.expect("valid metric"))
+        let metric = IntCounter::with_opts(options(name, help));
+        self.register(metric.expect("valid metric"))
     }
 
-    /// Makes a gauge.
+    /// Registers a gauge.
     pub fn gauge(&mut self, name: &str, help: &str) -> IntGauge {
-        let made = IntGauge::with_opts(options(name, help));
-        self.register(made.expect("valid metric"))
+        let metric = IntGauge::with_opts(options(name, help));
+        self.register(metric.expect("valid metric"))
     }
 
-    /// Makes gauges with labels.
-    pub fn gauges(&mut self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
-        let made = GaugeVec::new(options(name, help), labels);
-        self.register(made.expect("valid metric"))
+    /// Registers a gauge with labels.
+    pub fn gauge_with_labels(&mut self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
+        let metric = GaugeVec::new(options(name, help), labels);
+        self.register(metric.expect("valid metric"))
     }
 
-    /// Makes histograms of times with labels.
+    /// Registers a histogram of durations with labels.
     pub fn histogram(&mut self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-        let options = HistogramOpts::from(options(name, help)).buckets(TIMES.to_vec());
-        let made = HistogramVec::new(options, labels);
-        self.register(made.expect("valid metric"))
+        let options =
+            HistogramOpts::from(options(name, help)).buckets(DURATION_BUCKETS_SECONDS.to_vec());
+        let metric = HistogramVec::new(options, labels);
+        self.register(metric.expect("valid metric"))
     }
 
-    fn register<M: Collector + Clone + 'static>(&mut self, made: M) -> M {
-        let names = made.desc().into_iter().map(|it| it.fq_name.clone());
+    fn register<M: Collector + Clone + 'static>(&mut self, metric: M) -> M {
+        let names = metric.desc().into_iter().map(|it| it.fq_name.clone());
         self.names.extend(names);
-        // Names are constants of this program, each registered once.
-        let registered = self.inner.register(Box::new(made.clone()));
+        // Cannot fail: names are constants of this program, each registered once.
+        let registered = self.inner.register(Box::new(metric.clone()));
         registered.expect("metric is registered once");
-        made
+        metric
     }
 }
 
 fn options(name: &str, help: &str) -> Opts {
-    Opts::new(format!("{PREFIX}{name}"), help)
+    Opts::new(format!("{NAME_PREFIX}{name}"), help)
 }
--- a/crates/cowslipcross/src/shutdown.rs
+++ b/crates/cowslipcross/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A stop that cuts nothing in flight.
+//! Graceful shutdown that lets requests in progress finish.
 
 use {
     crate::{
@@ -15,33 +15,37 @@
     },
 };
 
-/// Time for which new connections are taken after the signal: the platform notices in two seconds.
-const ACCEPTING: Duration = Duration::from_millis(2600);
-/// Time before the process would be killed at which it ends by itself.
-const MARGIN: Duration = Duration::from_millis(250);
-/// Period in which the stop looks whether everything has ended.
-const CHECK: Duration = Duration::from_millis(20);
+/// Time for which connections are accepted after the signal: the platform takes up to two seconds to
+/// notice that the instance is not ready.
+const ACCEPT_DURATION: Duration = Duration::from_millis(2600);
+/// The process exits this long before the end of the grace period, at which it would be killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
+/// Interval of the checks for open connections and requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for the signal, then serves on until callers have left.
+/// Waits for the signal, then serves until connections and requests have ended or the grace period
+/// is nearly over.
 pub async fn drain_after_signal(
     mut signal: Signal,
     context: &Context,
-    conns: &Conns,
-    accepting: JoinHandle<()>,
+    connections: &Conns,
+    accept_task: JoinHandle<()>,
 ) {
     signal.recv().await;
-    let begun = Instant::now();
-    let end = begun + context.bounds.borrow().grace.saturating_sub(MARGIN);
-    context.stopping_since.set(Some(begun));
+    let started = Instant::now();
+    let deadline = started + context.bounds.borrow().grace.saturating_sub(EXIT_MARGIN);
+    context.stopping_since.set(Some(started));
     context
         .events
         .record(events::SHUTDOWN_STARTED, EventFields::default());
     seat::resign(context).await;
-    sleep_until(end.min(begun + ACCEPTING)).await;
-    accepting.abort();
-    conns.close();
-    while Instant::now() < end && (conns.count() > 0 || context.active_requests.get() > 0) {
-        sleep(CHECK).await;
+    sleep_until(deadline.min(started + ACCEPT_DURATION)).await;
+    accept_task.abort();
+    connections.close();
+    while Instant::now() < deadline
+        && (connections.count() > 0 || context.active_requests.get() > 0)
+    {
+        sleep(POLL_INTERVAL).await;
     }
     let detail = format!("{} requests in progress", context.active_requests.get());
     context.record_event(events::SHUTDOWN_FINISHED, detail);
--- a/crates/cowslipcross/src/status.rs
+++ b/crates/cowslipcross/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of an instance for operators.
+//! Status of an instance for operators.
 
 use {
     crate::context::Context,
@@ -12,45 +12,45 @@
     tokio::time::Instant,
 };
 
-/// What an instance knows and does.
+/// Status of an instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
     /// Name of the instance.
     pub name: Name,
     /// Data centre of the instance.
     pub data_centre: Name,
-    /// Whether it can serve.
+    /// Whether it can serve requests.
     pub ready: bool,
-    /// Whether it has got the stop signal.
+    /// Whether it has received the stop signal.
     pub stopping: bool,
     /// Whether it is the leader.
     pub leads: bool,
-    /// Address of the leader for datagrams.
+    /// Address of the leader's UDP socket.
     pub leader: Option<SocketAddr>,
-    /// Instances that the leader hears of.
+    /// Number of instances as counted by the leader.
     pub instances: u32,
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 if there is none.
     pub config: u64,
-    /// Versions of the recorded owners by service.
+    /// Versions of the recorded assignments by service.
     pub owners: BTreeMap<Name, u64>,
-    /// Targets that report themselves.
+    /// Number of targets that report themselves.
     pub targets: usize,
     /// Withdrawn data centres.
     pub withdrawn: BTreeSet<Name>,
-    /// Requests of callers in progress.
+    /// Requests in progress.
     pub active: u32,
-    /// ViewAges of what it knows.
+    /// Ages of its data.
     pub ages: ViewAges,
 }
 
-/// Milliseconds since a view was confirmed last; `None` if it never was.
+/// Milliseconds since data was last confirmed to be up to date; `None` if it never was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ViewAges {
     /// Configuration and withdrawals.
     pub config_ms: Option<u64>,
     /// Targets.
     pub targets_ms: Option<u64>,
-    /// Owners of keys: a heartbeat of the leader, or its own lease.
+    /// Assignments: confirmed by a heartbeat of the leader; 0 while the instance leads.
     pub owners_ms: Option<u64>,
 }
 
@@ -80,13 +80,13 @@
 impl From<&Context> for ViewAges {
     fn from(context: &Context) -> Self {
         let now = Instant::now();
-        let since = |at: Option<Instant>| at.map(|at| millis(now - at));
+        let age = |confirmed: Option<Instant>| confirmed.map(|it| millis(now - it));
         let owners = match context.is_leader() {
             true => Some(0),
-            false => since(context.last_heartbeat.get()),
+            false => age(context.last_heartbeat.get()),
         };
         Self {
-            config_ms: since(context.config_confirmed.get()),
+            config_ms: age(context.config_confirmed.get()),
             targets_ms: context.targets.borrow().age(now).map(millis),
             owners_ms: owners,
         }
