--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -77,7 +77,7 @@
             ),
             permit_timeouts: registry.counter(
                 "silent_holders_total",
-                "Permit coordinators passed over because they did not reply.",
+                "Coordinators passed over because they did not reply to permit requests.",
             ),
             retries: registry.counter_with_labels(
                 "repeats_total",
--- a/crates/cowslipcross/tests/events.rs
+++ b/crates/cowslipcross/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events: ring, clock, rates, texts and the catalogue's page.
+//! Tests of events: ring buffer, clock, rate limits, texts and the page of events.
 
 use {
     cowslip_decide::names::Incarnation,
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_frequent_kind_is_sampled_each_second() {
+async fn a_frequent_kind_is_limited_to_its_rate_per_second() {
     let events = events(1000);
     (0..60).for_each(|_| events.record(events::UNSERVED, EventFields::default()));
     assert_eq!(events.events_after(0).events.len(), 50);
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stamps_order_causes_over_processes() {
+async fn timestamps_follow_causality_across_processes() {
     let (left, right) = (events(10), events(10));
     let mut last = left.next_timestamp();
     for step in 0..100 {
@@ -49,12 +49,15 @@
             count: u32::MAX - (step as u32 % 2),
         };
         right.observe_timestamp(ahead);
-        let answer = right.next_timestamp();
-        assert!(answer > ahead, "{answer:?} after {ahead:?}");
-        left.observe_timestamp(answer);
-        let stamp = left.next_timestamp();
-        assert!(stamp > answer && stamp > last, "{stamp:?} after {answer:?}");
-        last = stamp;
+        let reply = right.next_timestamp();
+        assert!(reply > ahead, "{reply:?} after {ahead:?}");
+        left.observe_timestamp(reply);
+        let timestamp = left.next_timestamp();
+        assert!(
+            timestamp > reply && timestamp > last,
+            "{timestamp:?} after {reply:?}"
+        );
+        last = timestamp;
         if step % 7 == 0 {
             tokio::time::advance(Duration::from_millis(step)).await;
         }
@@ -62,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_clock_follows_the_clock_of_the_runtime() {
+async fn the_clock_advances_with_the_runtime_clock() {
     let events = events(10);
     let before = events.next_timestamp();
     tokio::time::advance(Duration::from_millis(1500)).await;
@@ -70,14 +73,14 @@
 }
 
 #[test]
-fn an_event_says_what_it_is_about() {
+fn an_event_contains_its_fields_and_origin() {
     let events = events(10);
-    let about = EventFields {
+    let fields = EventFields {
         target: Some("board-3".into()),
         detail: Some("300 ms".to_owned()),
         ..EventFields::default()
     };
-    events.record(events::TARGET_ADDED, about);
+    events.record(events::TARGET_ADDED, fields);
     events.record(EventCode(7), EventFields::default());
     let page = events.events_after(0);
     let event = &page.events[0];
@@ -93,14 +96,14 @@
 }
 
 #[test]
-fn the_catalogue_is_ordered_and_its_texts_have_known_places() {
+fn the_catalogue_is_sorted_and_its_placeholders_are_known() {
     assert!(CATALOGUE.windows(2).all(|pair| pair[0].code < pair[1].code));
     let known = BTreeSet::from(["request", "key", "target", "instance", "detail"]);
     for kind in CATALOGUE {
-        let places = kind.template.split('{').skip(1);
-        let places: Vec<_> = places.filter_map(|it| it.split('}').next()).collect();
+        let placeholders = kind.template.split('{').skip(1);
+        let placeholders: Vec<_> = placeholders.filter_map(|it| it.split('}').next()).collect();
         assert!(
-            places.iter().all(|place| known.contains(place)),
+            placeholders.iter().all(|name| known.contains(name)),
             "{}",
             kind.template
         );
@@ -124,13 +127,13 @@
 }
 
 #[test]
-fn a_stamp_survives_a_message() {
+fn a_timestamp_survives_encoding_as_a_number() {
     for (wall, count) in [
         (0, 0),
         (1_790_000_000_123, 7),
         (1_790_000_000_123, 1_048_575),
     ] {
-        let stamp = HybridTimestamp { wall, count };
-        assert_eq!(HybridTimestamp::from(u64::from(stamp)), stamp);
+        let timestamp = HybridTimestamp { wall, count };
+        assert_eq!(HybridTimestamp::from(u64::from(timestamp)), timestamp);
     }
 }
--- a/crates/cowslipcross/tests/instance/world.rs
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: the store and targets as stand-ins, instances as real processes.
+//! A test deployment on loopback: fakes of the store and the targets, instances as real processes.
 
 use {
     bytes::Bytes,
@@ -26,26 +26,26 @@
     },
 };
 
-/// Longest wait for something that must happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a condition or response counts as missing.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Secret for operators' pages.
+/// Token for the operators' pages.
 pub const TOKEN: &str = "a-long-token";
 
-/// An instance; its process is killed when this is dropped.
+/// A running instance; the process is killed when this is dropped.
 pub struct Instance {
     /// Address for callers.
     pub callers: SocketAddr,
     readiness: SocketAddr,
     operators: SocketAddr,
-    settings: PathBuf,
-    log: PathBuf,
+    settings_file: PathBuf,
+    log_file: PathBuf,
     child: Child,
 }
 
-/// An answer of an instance.
+/// A response of an instance.
 #[derive(Debug)]
-pub struct Answer {
+pub struct InstanceResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -54,13 +54,13 @@
     pub body: Bytes,
 }
 
-/// A deployment.
-pub struct World {
+/// A store, targets and instances.
+pub struct Deployment {
     /// The platform's store.
     pub store: FakeStore,
-    /// Targets of the divided service.
+    /// Targets of the sharded service `boards`.
     pub boards: Vec<FakeTarget>,
-    /// Targets of the undivided service.
+    /// Targets of the unsharded service `crews`.
     pub crews: Vec<FakeTarget>,
     /// Instances.
     pub instances: Vec<Instance>,
@@ -68,44 +68,45 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // An instance that has ended by itself can't be killed.
+        // Killing fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = fs::remove_file(&self.settings);
-        // What it decided explains the failure of a test.
+        let _ = fs::remove_file(&self.settings_file);
+        // The log helps to explain a failed test.
         if thread::panicking() {
-            let log = fs::read_to_string(&self.log).unwrap_or_default();
+            let log = fs::read_to_string(&self.log_file).unwrap_or_default();
             eprintln!("log of {}:\n{log}", self.callers);
         }
-        let _ = fs::remove_file(&self.log);
+        let _ = fs::remove_file(&self.log_file);
     }
 }
 
 impl Instance {
-    /// Starts the program.
+    /// Starts the program with a settings file and a log file of its own.
     pub fn start(name: &str, store: SocketAddr) -> Self {
-        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::allocate_address());
+        let [callers, readiness, operators, heartbeats] =
+            [(); 4].map(|()| ports::allocate_address());
         let text = format!(
             "name = \"{name}\"\ndata_centre = \"west\"\nstore = \"{store}\"\ntoken = \"{TOKEN}\"\n\
              [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
-             operators = \"{operators}\"\nheartbeats = \"{beats}\"\n\
+             operators = \"{operators}\"\nheartbeats = \"{heartbeats}\"\n\
              [bounds]\ngrace = \"6s\"\nmax_hold = \"10000ms\"\nretry_slack = \"62\"\n"
         );
-        let file = std::env::temp_dir().join(format!("cowslip-{name}-{}", beats.port()));
-        let (settings, log) = (file.with_extension("toml"), file.with_extension("log"));
-        fs::write(&settings, text).expect("settings are written");
+        let file = std::env::temp_dir().join(format!("cowslip-{name}-{}", heartbeats.port()));
+        let (settings_file, log_file) = (file.with_extension("toml"), file.with_extension("log"));
+        fs::write(&settings_file, text).expect("settings are written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_cowslipcross"));
         command
             .arg("--settings")
-            .arg(&settings)
-            .stdout(File::create(&log).expect("a file for the log"));
+            .arg(&settings_file)
+            .stdout(File::create(&log_file).expect("a file for the log"));
         let child = ports::spawn_process(&mut command).expect("the program starts");
         Self {
             callers,
             readiness,
             operators,
-            settings,
-            log,
+            settings_file,
+            log_file,
             child,
         }
     }
@@ -119,8 +120,9 @@
         assert!(ended.is_ok_and(|it| it.success()), "signal {name}");
     }
 
-    /// Waits for the end of the process and returns its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    /// Waits for the process to exit and returns its exit code; `None` after 10 s or if a signal
+    /// killed it.
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         for _ in 0..1000 {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
@@ -130,20 +132,20 @@
         None
     }
 
-    /// Returns whether it says that it is ready.
+    /// Returns whether the readiness probe succeeds.
     pub async fn is_ready(&self) -> bool {
-        let answer = get(self.readiness, "/-/ready").await;
-        answer.is_some_and(|it| it.status == StatusCode::OK)
+        let response = fetch(self.readiness, "/-/ready").await;
+        response.is_some_and(|it| it.status == StatusCode::OK)
     }
 
-    /// Returns the metrics.
+    /// Returns the text of the metrics page.
     pub async fn metrics(&self) -> String {
-        let answer = self.page("/metrics", None).await;
-        String::from_utf8_lossy(&answer.body).into_owned()
+        let response = self.get_page("/metrics", None).await;
+        String::from_utf8_lossy(&response.body).into_owned()
     }
 
-    /// Returns a page for operators.
-    pub async fn page(&self, path: &str, token: Option<&str>) -> Answer {
+    /// Gets an operators' page.
+    pub async fn get_page(&self, path: &str, token: Option<&str>) -> InstanceResponse {
         let mut request = Request::builder().uri(path).header("host", "x");
         if let Some(token) = token {
             request = request.header("authorization", format!("Bearer {token}"));
@@ -152,85 +154,95 @@
         exchange(self.operators, request).await.expect("a page")
     }
 
-    /// Sends a request; `None` if the connection ended without an answer.
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> Option<Answer> {
+    /// Sends a request; `None` if the connection ended without a response.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Option<InstanceResponse> {
         exchange(self.callers, request).await
     }
 }
 
-impl World {
-    /// Starts a deployment and waits until every instance is ready and every key is served.
-    pub async fn start(instances: usize, boards: usize, slots: u32, work: Duration) -> Self {
+impl Deployment {
+    /// Starts a deployment and waits until every instance is ready and the sampled keys have owners.
+    pub async fn start(
+        instances: usize,
+        boards: usize,
+        slots: u32,
+        processing_time: Duration,
+    ) -> Self {
         let store = FakeStore::start().await;
         store.put("op", "config", build_config("r5", "boards").as_bytes());
-        let mut world = Self {
+        let mut deployment = Self {
             store,
             boards: Vec::new(),
             crews: Vec::new(),
             instances: Vec::new(),
         };
         for at in 0..boards {
-            let options = options(&format!("b{at}"), "boards", true, slots, work);
-            world.boards.push(FakeTarget::start(options).await);
+            let options = target_options(&format!("b{at}"), "boards", true, slots, processing_time);
+            deployment.boards.push(FakeTarget::start(options).await);
         }
         for at in 0..2 {
-            let options = options(&format!("c{at}"), "crews", false, slots, work);
-            world.crews.push(FakeTarget::start(options).await);
+            let options = target_options(&format!("c{at}"), "crews", false, slots, processing_time);
+            deployment.crews.push(FakeTarget::start(options).await);
         }
-        let all = world.boards.iter().chain(&world.crews);
-        all.for_each(|target| target.publish_report(&world.store, "ready"));
+        let all = deployment.boards.iter().chain(&deployment.crews);
+        all.for_each(|target| target.publish_report(&deployment.store, "ready"));
         for at in 0..instances {
-            let instance = Instance::start(&format!("i{at}"), world.store.address());
-            world.instances.push(instance);
+            let instance = Instance::start(&format!("i{at}"), deployment.store.address());
+            deployment.instances.push(instance);
         }
-        world.settle().await;
-        world
+        deployment.wait_until_ready().await;
+        deployment
     }
 
-    /// Waits until every instance is ready and keys all over are owned.
-    pub async fn settle(&self) {
+    /// Waits until every instance is ready and every sampled key has exactly one owner.
+    pub async fn wait_until_ready(&self) {
         for instance in &self.instances {
-            until(|| instance.is_ready()).await;
+            wait_until(|| instance.is_ready()).await;
         }
-        until(|| async { (0..=65535u64).step_by(997).all(|key| self.owners(key) == 1) }).await;
-        // Heartbeats with the members follow within a second.
+        wait_until(|| async {
+            (0..=65535u64)
+                .step_by(997)
+                .all(|key| self.owner_count(key) == 1)
+        })
+        .await;
+        // Heartbeats with the membership arrive within a second.
         sleep(Duration::from_millis(1200)).await;
     }
 
-    /// Returns how many targets hold a key.
-    pub fn owners(&self, key: u64) -> usize {
+    /// Returns how many targets have a grant for a key.
+    pub fn owner_count(&self, key: u64) -> usize {
         self.boards
             .iter()
             .filter(|target| target.has_grant(key))
             .count()
     }
 
-    /// Returns how often the request with this id ran anywhere.
-    pub fn runs(&self, id: &str) -> u32 {
+    /// Returns how often the targets executed the request with this id.
+    pub fn execution_count(&self, id: &str) -> u32 {
         let all = self.boards.iter().chain(&self.crews);
         all.map(|target| target.execution_count(id)).sum()
     }
 }
 
-/// Waits until something is so.
-pub async fn until<A: Future<Output = bool>>(check: impl Fn() -> A) {
-    let waiting = async {
-        while !check().await {
+/// Polls until the condition holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until<A: Future<Output = bool>>(condition: impl Fn() -> A) {
+    let polling = async {
+        while !condition().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, waiting)
+    timeout(WAIT_TIMEOUT, polling)
         .await
-        .expect("it happens in time");
+        .expect("condition holds in time");
 }
 
-/// Returns a lookup of a board.
-pub fn lookup(id: &str, key: u64) -> Request<Full<Bytes>> {
+/// Returns an idempotent request to the sharded service.
+pub fn lookup_request(id: &str, key: u64) -> Request<Full<Bytes>> {
     request("GET", "/lookup/x?a=1", id, &key.to_string(), Bytes::new())
 }
 
-/// Returns an order that may not be repeated.
-pub fn order(id: &str, key: u64) -> Request<Full<Bytes>> {
+/// Returns a non-idempotent request to the sharded service.
+pub fn removal_request(id: &str, key: u64) -> Request<Full<Bytes>> {
     request(
         "POST",
         "/remove/x",
@@ -240,12 +252,12 @@
     )
 }
 
-/// Returns a request to the undivided service.
-pub fn booking(id: &str) -> Request<Full<Bytes>> {
+/// Returns a non-idempotent request to the unsharded service.
+pub fn booking_request(id: &str) -> Request<Full<Bytes>> {
     request("PUT", "/book/x", id, "7", Bytes::from_static(b"book it"))
 }
 
-/// Returns a request.
+/// Returns a request with a deadline of 4 s.
 pub fn request(method: &str, path: &str, id: &str, key: &str, body: Bytes) -> Request<Full<Bytes>> {
     Request::builder()
         .method(method)
@@ -258,32 +270,38 @@
         .expect("a valid request")
 }
 
-fn options(id: &str, service: &str, divided: bool, slots: u32, work: Duration) -> TargetOptions {
+fn target_options(
+    id: &str,
+    service: &str,
+    sharded: bool,
+    slots: u32,
+    processing_time: Duration,
+) -> TargetOptions {
     TargetOptions {
         id: id.into(),
         service: service.into(),
         data_centre: if id.ends_with('0') { "east" } else { "west" }.into(),
-        sharded: divided,
+        sharded,
         slots,
-        processing_time: work,
+        processing_time,
         ..TargetOptions::default()
     }
 }
 
-async fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+async fn fetch(address: SocketAddr, path: &str) -> Option<InstanceResponse> {
     let request = Request::builder().uri(path).header("host", "x");
     exchange(address, request.body(Full::default()).ok()?).await
 }
 
-async fn exchange(address: SocketAddr, request: Request<Full<Bytes>>) -> Option<Answer> {
+async fn exchange(address: SocketAddr, request: Request<Full<Bytes>>) -> Option<InstanceResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(driver);
-    let answer = timeout(PATIENCE, sender.send_request(request)).await;
-    let (head, body) = answer.expect("an answer in time").ok()?.into_parts();
+    let response = timeout(WAIT_TIMEOUT, sender.send_request(request)).await;
+    let (head, body) = response.expect("a response in time").ok()?.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     driver.abort();
-    Some(Answer {
+    Some(InstanceResponse {
         status: head.status,
         headers: head.headers,
         body,
--- a/crates/cowslipcross/tests/instance/main.rs
+++ b/crates/cowslipcross/tests/instance/main.rs
@@ -1,5 +1,5 @@
-//! Instances from callers to targets, as real processes on loopback.
+//! End-to-end tests of instances that run as processes on loopback.
 
+mod deployment;
 mod operators;
 mod requests;
-mod world;
--- a/crates/cowslipcross/tests/instance/operators.rs
+++ b/crates/cowslipcross/tests/instance/operators.rs
@@ -1,7 +1,7 @@
-//! Operators' pages of a running instance.
+//! Tests of the operators' pages of a running instance.
 
 use {
-    crate::world::{TOKEN, World, lookup, until},
+    crate::deployment::{Deployment, TOKEN, lookup_request, wait_until},
     http::StatusCode,
     serde_json::Value,
     std::time::Duration,
@@ -13,30 +13,34 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn status_and_events_need_the_token() {
-    let world = World::start(1, 2, 2, Duration::from_millis(5)).await;
-    let instance = &world.instances[0];
+    let deployment = Deployment::start(1, 2, 2, Duration::from_millis(5)).await;
+    let instance = &deployment.instances[0];
     for path in ["/status", "/events"] {
         for token in [None, Some("wrong-token"), Some("")] {
-            let answer = instance.page(path, token).await;
-            assert_eq!(answer.status, StatusCode::UNAUTHORIZED, "{path} {token:?}");
+            let response = instance.get_page(path, token).await;
+            assert_eq!(
+                response.status,
+                StatusCode::UNAUTHORIZED,
+                "{path} {token:?}"
+            );
         }
-        let answer = instance.page(path, Some(TOKEN)).await;
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = instance.get_page(path, Some(TOKEN)).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
     for path in ["/healthz", "/metrics"] {
-        assert_eq!(instance.page(path, None).await.status, StatusCode::OK);
+        assert_eq!(instance.get_page(path, None).await.status, StatusCode::OK);
     }
     assert_eq!(
-        instance.page("/x", None).await.status,
+        instance.get_page("/x", None).await.status,
         StatusCode::NOT_FOUND
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_tells_what_the_instance_knows() {
-    let world = World::start(1, 2, 2, Duration::from_millis(5)).await;
-    let instance = &world.instances[0];
-    let status = json(&instance.page("/status", Some(TOKEN)).await.body);
+async fn status_contains_versions_ages_and_withdrawals() {
+    let deployment = Deployment::start(1, 2, 2, Duration::from_millis(5)).await;
+    let instance = &deployment.instances[0];
+    let status = json(&instance.get_page("/status", Some(TOKEN)).await.body);
     assert_eq!(status["name"], "i0");
     assert_eq!(
         (&status["ready"], &status["leads"]),
@@ -51,28 +55,31 @@
         let age = status["ages"][view].as_u64();
         assert!(age.is_some_and(|age| age < 4000), "{view}: {age:?}");
     }
-    world.store.put("op", "evacuate/east", b"{}");
-    until(|| async {
-        let status = json(&instance.page("/status", Some(TOKEN)).await.body);
+    deployment.store.put("op", "evacuate/east", b"{}");
+    wait_until(|| async {
+        let status = json(&instance.get_page("/status", Some(TOKEN)).await.body);
         status["withdrawn"] == serde_json::json!(["east"])
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn events_follow_a_number_and_metrics_tell_ages_and_answers() {
-    let world = World::start(1, 2, 2, Duration::from_millis(5)).await;
-    let instance = &world.instances[0];
-    let answer = instance.send(lookup("r1", 7)).await.expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    let page = json(&instance.page("/events", Some(TOKEN)).await.body);
+async fn events_can_be_read_after_a_number_and_metrics_contain_ages_and_responses() {
+    let deployment = Deployment::start(1, 2, 2, Duration::from_millis(5)).await;
+    let instance = &deployment.instances[0];
+    let response = instance
+        .send(lookup_request("r1", 7))
+        .await
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    let page = json(&instance.get_page("/events", Some(TOKEN)).await.body);
     let events = page["events"].as_array().expect("events");
     assert_eq!(events[0]["code"], "CC0101");
     let last = events.last().expect("an event")["seq"].as_u64();
     let path = format!("/events?after={}", last.expect("a number"));
-    let page = json(&instance.page(&path, Some(TOKEN)).await.body);
+    let page = json(&instance.get_page(&path, Some(TOKEN)).await.body);
     assert!(page["events"].as_array().expect("events").len() < events.len());
-    let bad = instance.page("/events?after=x", Some(TOKEN)).await;
+    let bad = instance.get_page("/events?after=x", Some(TOKEN)).await;
     assert_eq!(bad.status, StatusCode::BAD_REQUEST);
     let metrics = instance.metrics().await;
     assert!(metrics.contains("cowslipcross_answers_total{kind=\"repeatable\""));
--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -1,7 +1,9 @@
-//! Requests of callers, and what becomes of them under failures.
+//! Tests of callers' requests in normal operation and under failures.
 
 use {
-    crate::world::{World, booking, lookup, order, request, until},
+    crate::deployment::{
+        Deployment, booking_request, lookup_request, removal_request, request, wait_until,
+    },
     bytes::Bytes,
     cowslip_adapter_standins::{config::build_config, store, target},
     futures_util::future::join_all,
@@ -11,35 +13,41 @@
     tokio::time::{sleep, timeout},
 };
 
-const WORK: Duration = Duration::from_millis(20);
+const PROCESSING_TIME: Duration = Duration::from_millis(20);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_reach_their_target_and_answers_come_back_unchanged() {
-    let world = World::start(2, 3, 2, WORK).await;
-    for instance in &world.instances {
+async fn requests_reach_their_target_and_responses_come_back_unchanged() {
+    let deployment = Deployment::start(2, 3, 2, PROCESSING_TIME).await;
+    for instance in &deployment.instances {
         for key in [0, 21_845, 65_535] {
             let id = format!("{}-{key}", instance.callers.port());
-            let answer = instance.send(order(&id, key)).await.expect("an answer");
-            assert_eq!(answer.status, StatusCode::OK);
-            assert_eq!(answer.body, "strip it");
-            assert_eq!(answer.headers["x-request-id"], *id);
-            assert_eq!(answer.headers["x-response-signature"], "s");
-            assert_eq!(world.runs(&id), 1);
+            let response = instance
+                .send(removal_request(&id, key))
+                .await
+                .expect("a response");
+            assert_eq!(response.status, StatusCode::OK);
+            assert_eq!(response.body, "strip it");
+            assert_eq!(response.headers["x-request-id"], *id);
+            assert_eq!(response.headers["x-response-signature"], "s");
+            assert_eq!(deployment.execution_count(&id), 1);
         }
-        let answer = instance.send(booking("b")).await.expect("an answer");
+        let response = instance
+            .send(booking_request("b"))
+            .await
+            .expect("a response");
         assert_eq!(
-            (answer.status, answer.body.as_ref()),
+            (response.status, response.body.as_ref()),
             (StatusCode::OK, &b"book it"[..])
         );
     }
-    let metrics = world.instances[0].metrics().await;
+    let metrics = deployment.instances[0].metrics().await;
     assert!(metrics.contains("cowslipcross_answers_total"), "{metrics}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_not_valid_is_refused_and_reaches_no_target() {
-    let world = World::start(1, 2, 2, WORK).await;
-    let instance = &world.instances[0];
+async fn invalid_requests_are_refused_and_reach_no_target() {
+    let deployment = Deployment::start(1, 2, 2, PROCESSING_TIME).await;
+    let instance = &deployment.instances[0];
     let long = Bytes::from(vec![b'x'; 3000]);
     let bare = |path: &str| {
         let request = Request::builder().uri(path).header("host", "front.example");
@@ -55,17 +63,22 @@
     ];
     for (request, status) in cases {
         let path = request.uri().to_string();
-        let answer = instance.send(request).await.expect("an answer");
-        assert_eq!(answer.status, status, "{path}");
+        let response = instance.send(request).await.expect("a response");
+        assert_eq!(response.status, status, "{path}");
     }
-    // Rows of other writers cost nothing but themselves.
-    world.store.put("servers", "forged", br#"{"Service":7}"#);
-    world.store.put("servers", "garbage", b"\xff\xfe");
-    world.store.put("op", "config", b"no configuration");
+    // Unreadable rows in the store must not affect the readable ones.
+    deployment
+        .store
+        .put("servers", "forged", br#"{"Service":7}"#);
+    deployment.store.put("servers", "garbage", b"\xff\xfe");
+    deployment.store.put("op", "config", b"no configuration");
     sleep(Duration::from_millis(1600)).await;
-    let answer = instance.send(lookup("f", 9)).await.expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    let targets = world.boards.iter().chain(&world.crews);
+    let response = instance
+        .send(lookup_request("f", 9))
+        .await
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    let targets = deployment.boards.iter().chain(&deployment.crews);
     assert_eq!(
         targets
             .map(target::FakeTarget::total_executions)
@@ -75,167 +88,182 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_without_an_answer_runs_once_and_is_not_called_refused() {
-    let world = World::start(1, 2, 2, WORK).await;
-    let all = || world.boards.iter().chain(&world.crews);
-    for mood in [
+async fn a_non_idempotent_request_without_a_response_runs_once_and_is_not_reported_as_refused() {
+    let deployment = Deployment::start(1, 2, 2, PROCESSING_TIME).await;
+    let all = || deployment.boards.iter().chain(&deployment.crews);
+    for mode in [
         target::TargetMode::CloseWithoutResponse,
         target::TargetMode::WrongRequestId,
     ] {
-        all().for_each(|target| target.set_mode(mood));
-        for (id, request) in [("o", order("o", 5)), ("b", booking("b"))] {
-            let before = world.runs(id);
-            let answer = world.instances[0].send(request).await.expect("an answer");
-            assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{id} {mood:?}");
-            assert_eq!(world.runs(id) - before, 1, "{id} {mood:?}");
+        all().for_each(|target| target.set_mode(mode));
+        for (id, request) in [("o", removal_request("o", 5)), ("b", booking_request("b"))] {
+            let before = deployment.execution_count(id);
+            let response = deployment.instances[0]
+                .send(request)
+                .await
+                .expect("a response");
+            assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{id} {mode:?}");
+            assert_eq!(deployment.execution_count(id) - before, 1, "{id} {mode:?}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_are_served_again_after_the_leader_is_killed() {
-    let mut world = World::start(3, 3, 2, WORK).await;
-    let mut led = None;
-    for (at, instance) in world.instances.iter().enumerate() {
+    let mut deployment = Deployment::start(3, 3, 2, PROCESSING_TIME).await;
+    let mut leader = None;
+    for (at, instance) in deployment.instances.iter().enumerate() {
         if instance
             .metrics()
             .await
             .contains("\ncowslipcross_leads 1\n")
         {
-            led = Some(at);
+            leader = Some(at);
         }
     }
-    drop(world.instances.remove(led.expect("one instance leads")));
-    // A target leaves: only a new leader can give its keys to others.
-    let gone = world.boards.remove(0);
-    gone.publish_report(&world.store, "draining");
-    until(|| async {
+    drop(
+        deployment
+            .instances
+            .remove(leader.expect("one instance leads")),
+    );
+    // A target drains: only a new leader can assign its keys to others.
+    let draining = deployment.boards.remove(0);
+    draining.publish_report(&deployment.store, "draining");
+    wait_until(|| async {
         let keys = (0..=65_535u64).step_by(499);
-        let owned: Vec<usize> = keys.map(|key| world.owners(key)).collect();
+        let owned: Vec<usize> = keys.map(|key| deployment.owner_count(key)).collect();
         owned.iter().all(|owners| *owners == 1)
     })
     .await;
-    for (at, instance) in world.instances.iter().enumerate() {
-        let answer = instance
-            .send(lookup(&format!("l{at}"), 3))
+    for (at, instance) in deployment.instances.iter().enumerate() {
+        let response = instance
+            .send(lookup_request(&format!("l{at}"), 3))
             .await
-            .expect("an answer");
-        assert_eq!(answer.status, StatusCode::OK);
+            .expect("a response");
+        assert_eq!(response.status, StatusCode::OK);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_targets_and_withdrawn_data_centres_get_nothing_more() {
-    let world = World::start(2, 3, 2, WORK).await;
-    world.crews[1].publish_report(&world.store, "draining");
-    world.store.put("op", "evacuate/east", b"{}");
-    // The first target of each service is in the east; nothing is left for bookings.
+async fn draining_targets_and_withdrawn_data_centres_get_no_requests() {
+    let deployment = Deployment::start(2, 3, 2, PROCESSING_TIME).await;
+    deployment.crews[1].publish_report(&deployment.store, "draining");
+    deployment.store.put("op", "evacuate/east", b"{}");
+    // The first target of each service is in the east, so no target is left for bookings.
     sleep(Duration::from_millis(2000)).await;
-    let before = world.crews[1].total_executions();
-    let answer = world.instances[0]
-        .send(booking("late"))
+    let before = deployment.crews[1].total_executions();
+    let response = deployment.instances[0]
+        .send(booking_request("late"))
         .await
-        .expect("an answer");
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.headers.contains_key("retry-after"));
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.headers.contains_key("retry-after"));
     assert_eq!(
         (
-            world.crews[1].total_executions(),
-            world.crews[0].total_executions()
+            deployment.crews[1].total_executions(),
+            deployment.crews[0].total_executions()
         ),
         (before, 0)
     );
-    until(|| async {
+    wait_until(|| async {
         (0..=65_535u64)
             .step_by(499)
-            .all(|key| !world.boards[0].has_grant(key))
+            .all(|key| !deployment.boards[0].has_grant(key))
     })
     .await;
-    let before = world.boards[0].total_executions();
+    let before = deployment.boards[0].total_executions();
     for key in (0..60_000).step_by(6000) {
-        let answer = world.instances[1]
-            .send(lookup(&format!("k{key}"), key))
+        let response = deployment.instances[1]
+            .send(lookup_request(&format!("k{key}"), key))
             .await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(response.expect("a response").status, StatusCode::OK);
     }
-    assert_eq!(world.boards[0].total_executions(), before);
-    world.store.remove("op", "evacuate/east");
-    until(|| async {
-        let answer = world.instances[0].send(booking("back")).await;
-        answer.is_some_and(|it| it.status == StatusCode::OK)
+    assert_eq!(deployment.boards[0].total_executions(), before);
+    deployment.store.remove("op", "evacuate/east");
+    wait_until(|| async {
+        let response = deployment.instances[0].send(booking_request("back")).await;
+        response.is_some_and(|it| it.status == StatusCode::OK)
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_whose_report_lapsed_is_asked_to_release_its_keys() {
-    let world = World::start(2, 3, 2, WORK).await;
-    world.boards[0].remove_report(&world.store);
-    until(|| async {
+async fn a_target_without_a_report_is_asked_to_release_its_keys() {
+    let deployment = Deployment::start(2, 3, 2, PROCESSING_TIME).await;
+    deployment.boards[0].remove_report(&deployment.store);
+    wait_until(|| async {
         let keys = (0..=65_535u64).step_by(499);
         keys.clone()
-            .all(|key| world.owners(key) == 1 && !world.boards[0].has_grant(key))
+            .all(|key| deployment.owner_count(key) == 1 && !deployment.boards[0].has_grant(key))
     })
     .await;
-    // Without the address of its last report only its hold would have run out.
-    assert!(world.boards[0].release_count() > 0);
+    // Without the address from its last report the keys would become free only when the grant's TTL
+    // has passed.
+    assert!(deployment.boards[0].release_count() > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_is_in_force_everywhere_and_never_goes_back() {
-    let world = World::start(2, 2, 2, WORK).await;
-    world
+async fn a_new_configuration_reaches_all_instances_and_an_older_one_is_ignored() {
+    let deployment = Deployment::start(2, 2, 2, PROCESSING_TIME).await;
+    deployment
         .store
         .put("op", "config", build_config("r12", "crews").as_bytes());
-    for instance in &world.instances {
-        until(|| async {
-            let before = world.crews[0].total_executions() + world.crews[1].total_executions();
-            let answer = instance.send(lookup("moved", 1)).await.expect("an answer");
-            assert_eq!(answer.status, StatusCode::OK);
-            world.crews[0].total_executions() + world.crews[1].total_executions() > before
+    for instance in &deployment.instances {
+        wait_until(|| async {
+            let before =
+                deployment.crews[0].total_executions() + deployment.crews[1].total_executions();
+            let response = instance
+                .send(lookup_request("moved", 1))
+                .await
+                .expect("a response");
+            assert_eq!(response.status, StatusCode::OK);
+            deployment.crews[0].total_executions() + deployment.crews[1].total_executions() > before
         })
         .await;
     }
-    world
+    deployment
         .store
         .put("op", "config", build_config("r6", "boards").as_bytes());
     sleep(Duration::from_millis(1500)).await;
-    let before = world.boards[0].total_executions() + world.boards[1].total_executions();
-    for instance in &world.instances {
-        instance.send(lookup("stays", 1)).await.expect("an answer");
+    let before = deployment.boards[0].total_executions() + deployment.boards[1].total_executions();
+    for instance in &deployment.instances {
+        instance
+            .send(lookup_request("stays", 1))
+            .await
+            .expect("a response");
     }
     assert_eq!(
-        world.boards[0].total_executions() + world.boards[1].total_executions(),
+        deployment.boards[0].total_executions() + deployment.boards[1].total_executions(),
         before
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_served_while_the_store_is_away() {
-    let world = World::start(2, 2, 2, WORK).await;
-    world.store.set_mode(store::StoreMode::Unavailable);
+async fn requests_are_served_while_the_store_is_unavailable() {
+    let deployment = Deployment::start(2, 2, 2, PROCESSING_TIME).await;
+    deployment.store.set_mode(store::StoreMode::Unavailable);
     for round in 0..50 {
-        for (at, instance) in world.instances.iter().enumerate() {
+        for (at, instance) in deployment.instances.iter().enumerate() {
             let id = format!("s{round}-{at}");
-            let answer = instance
-                .send(order(&id, round * 1300))
+            let response = instance
+                .send(removal_request(&id, round * 1300))
                 .await
-                .expect("an answer");
-            assert_eq!(answer.status, StatusCode::OK, "round {round}");
+                .expect("a response");
+            assert_eq!(response.status, StatusCode::OK, "round {round}");
         }
         sleep(Duration::from_millis(100)).await;
     }
-    world.store.set_mode(store::StoreMode::DropResponses);
+    deployment.store.set_mode(store::StoreMode::DropResponses);
     sleep(Duration::from_millis(2500)).await;
-    world.store.set_mode(store::StoreMode::Normal);
-    world.settle().await;
+    deployment.store.set_mode(store::StoreMode::Normal);
+    deployment.wait_until_ready().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_instances_do_not_overfill_a_target() {
+async fn many_instances_do_not_exceed_the_slots_of_a_target() {
     // Eight times as many requests at once as the owner has slots.
-    let world = World::start(4, 1, 2, Duration::from_millis(60)).await;
-    let sends = world
+    let deployment = Deployment::start(4, 1, 2, Duration::from_millis(60)).await;
+    let sends = deployment
         .instances
         .iter()
         .enumerate()
@@ -243,18 +271,18 @@
             (0..4).map(move |number| async move {
                 let id = format!("f{at}-{number}");
                 instance
-                    .send(lookup(&id, 40))
+                    .send(lookup_request(&id, 40))
                     .await
-                    .expect("an answer")
+                    .expect("a response")
                     .status
             })
         });
-    let answers = join_all(sends).await;
+    let responses = join_all(sends).await;
     assert!(
-        answers.iter().all(|it| *it == StatusCode::OK),
-        "{answers:?}"
+        responses.iter().all(|it| *it == StatusCode::OK),
+        "{responses:?}"
     );
-    let owner = &world.boards[0];
+    let owner = &deployment.boards[0];
     assert_eq!(owner.shed_requests(), 0);
     assert!(
         owner.peak_concurrency() <= 3,
@@ -264,35 +292,50 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn work_ends_when_its_caller_leaves_unless_it_may_not_be_repeated() {
-    let work = Duration::from_secs(1);
-    let world = World::start(1, 1, 2, work).await;
-    let (instance, target) = (&world.instances[0], &world.boards[0]);
-    for (request, finished) in [(lookup("g", 7), 0), (order("h", 7), 1)] {
-        let left = timeout(Duration::from_millis(300), instance.send(request)).await;
-        assert!(left.is_err(), "the work takes longer");
-        until(|| async { target.in_flight_requests() == 0 }).await;
+async fn a_closed_caller_connection_cancels_only_idempotent_requests() {
+    let processing_time = Duration::from_secs(1);
+    let deployment = Deployment::start(1, 1, 2, processing_time).await;
+    let (instance, target) = (&deployment.instances[0], &deployment.boards[0]);
+    for (request, finished) in [(lookup_request("g", 7), 0), (removal_request("h", 7), 1)] {
+        let result = timeout(Duration::from_millis(300), instance.send(request)).await;
+        assert!(result.is_err(), "processing takes longer");
+        wait_until(|| async { target.in_flight_requests() == 0 }).await;
         assert_eq!(target.completed_requests(), finished);
     }
-    assert_eq!((world.runs("g"), world.runs("h")), (1, 1));
+    assert_eq!(
+        (
+            deployment.execution_count("g"),
+            deployment.execution_count("h")
+        ),
+        (1, 1)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_cuts_nothing_and_a_reload_goes_on() {
-    let mut world = World::start(2, 2, 2, Duration::from_millis(400)).await;
-    world.instances[0].signal("HUP");
+async fn shutdown_finishes_requests_and_a_reload_keeps_the_process_running() {
+    let mut deployment = Deployment::start(2, 2, 2, Duration::from_millis(400)).await;
+    deployment.instances[0].signal("HUP");
     sleep(Duration::from_millis(100)).await;
-    let mut stopped = world.instances.remove(0);
-    let (answer, ()) = tokio::join!(stopped.send(order("t", 8)), async {
+    let mut stopped = deployment.instances.remove(0);
+    let (response, ()) = tokio::join!(stopped.send(removal_request("t", 8)), async {
         sleep(Duration::from_millis(100)).await;
         stopped.signal("TERM");
     });
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(answer.headers["connection"], "close");
+    let response = response.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(response.headers["connection"], "close");
     assert!(!stopped.is_ready().await);
-    let late = stopped.send(order("u", 9)).await.expect("an answer");
+    let late = stopped
+        .send(removal_request("u", 9))
+        .await
+        .expect("a response");
     assert_eq!(late.status, StatusCode::OK);
-    assert_eq!(stopped.ended().await, Some(0));
-    assert_eq!((world.runs("t"), world.runs("u")), (1, 1));
+    assert_eq!(stopped.wait_for_exit().await, Some(0));
+    assert_eq!(
+        (
+            deployment.execution_count("t"),
+            deployment.execution_count("u")
+        ),
+        (1, 1)
+    );
 }
