--- a/crates/cowslipcross/tests/events.rs
+++ b/crates/cowslipcross/tests/events.rs
@@ -8,7 +8,7 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-fn events(capacity: usize) -> EventLog {
+fn event_log(capacity: usize) -> EventLog {
     let origin = Origin {
         process: "entry-1".into(),
         data_centre: "hk-1".into(),
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_full_ring_drops_the_oldest_and_counts_them() {
-    let events = events(3);
+    let events = event_log(3);
     (0..5).for_each(|_| events.record(events::INSTANCE_STARTED, EventFields::default()));
     let page = events.events_after(0);
     let seqs: Vec<_> = page.events.iter().map(|event| event.seq).collect();
@@ -30,7 +30,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_frequent_kind_is_limited_to_its_rate_per_second() {
-    let events = events(1000);
+    let events = event_log(1000);
     (0..60).for_each(|_| events.record(events::UNSERVED, EventFields::default()));
     assert_eq!(events.events_after(0).events.len(), 50);
     assert_eq!(events.events_after(0).skipped["CC0701"], 10);
@@ -41,7 +41,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn timestamps_follow_causality_across_processes() {
-    let (left, right) = (events(10), events(10));
+    let (left, right) = (event_log(10), event_log(10));
     let mut last = left.next_timestamp();
     for step in 0..100 {
         let ahead = HybridTimestamp {
@@ -66,7 +66,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_clock_advances_with_the_runtime_clock() {
-    let events = events(10);
+    let events = event_log(10);
     let before = events.next_timestamp();
     tokio::time::advance(Duration::from_millis(1500)).await;
     assert_eq!(events.next_timestamp().wall - before.wall, 1500);
@@ -74,7 +74,7 @@
 
 #[test]
 fn an_event_contains_its_fields_and_origin() {
-    let events = events(10);
+    let events = event_log(10);
     let fields = EventFields {
         target: Some("board-3".into()),
         detail: Some("300 ms".to_owned()),
