--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -11,11 +11,11 @@
 ///
 /// Falls back to the monotonic clock, which does not count sleep, where `CLOCK_BOOTTIME` is missing.
 pub fn local_time() -> LocalTime {
-    let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
+    let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
         .map_or(Duration::ZERO, Duration::from);
     LocalTime {
         monotonic: Instant::now(),
-        since_boot,
+        since_boot: boot_time,
     }
 }
--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -101,13 +101,13 @@
             continue;
         };
         if open.get() < MAX_CONNECTIONS {
-            spawn_local(serve_connection(stream, handler.clone(), open.clone()));
+            spawn_local(handle_connection(stream, handler.clone(), open.clone()));
         }
     }
 }
 
 /// Serves one connection until it ends or its lifetime is over.
-async fn serve_connection(
+async fn handle_connection(
     stream: TcpStream,
     handler: Rc<impl Fn(&Request<Incoming>) -> Response<Body> + 'static>,
     open: Rc<Cell<u32>>,
--- a/crates/cowslipcross/src/events/ring.rs
+++ b/crates/cowslipcross/src/events/ring.rs
@@ -17,7 +17,7 @@
     pub seq: u64,
     /// When it happened.
     #[serde(flatten)]
-    pub timestamp: HybridTimestamp,
+    pub stamp: HybridTimestamp,
     /// Instance that recorded it.
     pub process: Name,
     /// Data centre of that instance.
@@ -82,7 +82,7 @@
     ) -> Self {
         Self {
             seq: 0,
-            timestamp,
+            stamp: timestamp,
             process: origin.process.clone(),
             data_centre: origin.data_centre.clone(),
             incarnation: origin.incarnation,
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -12,7 +12,7 @@
         lead::{keep, seat},
         peers::{beat, datagram},
         serve::{entry, permit},
-        shutdown,
+        stop,
         views::{config, targets},
     },
     cowslip_settings::{overrides::Overrides, process},
@@ -54,10 +54,10 @@
     let listen = settings.listen.clone();
     let callers = bind(listen.callers)?;
     let readiness = bind(listen.readiness)?;
-    let heartbeats = UdpSocket::bind(listen.heartbeats)
+    let peer_socket = UdpSocket::bind(listen.heartbeats)
         .await
         .wrap_err_with(|| format!("cannot listen on {}", listen.heartbeats))?;
-    let context = Rc::new(Context::new(settings, heartbeats)?);
+    let context = Rc::new(Context::new(settings, peer_socket)?);
     record_start(&context);
     spawn_local(endpoints::serve_readiness(context.clone(), readiness));
     match bind(listen.operators) {
@@ -80,7 +80,7 @@
     spawn_local(reload_settings(context.clone(), path, overrides, reload));
     let connections = entry::Conns::default();
     let accept_task = spawn_local(entry::accept(context.clone(), callers, connections.clone()));
-    shutdown::drain_after_signal(terminate, &context, &connections, accept_task).await;
+    stop::drain_after_signal(terminate, &context, &connections, accept_task).await;
     Ok(())
 }
 
--- a/crates/cowslipcross/src/lib.rs
+++ b/crates/cowslipcross/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod metrics;
 mod peers;
 mod serve;
-mod shutdown;
 mod status;
+mod stop;
 mod views;
--- a/crates/cowslipcross/src/status.rs
+++ b/crates/cowslipcross/src/status.rs
@@ -80,13 +80,13 @@
 impl From<&Context> for ViewAges {
     fn from(context: &Context) -> Self {
         let now = Instant::now();
-        let age = |confirmed: Option<Instant>| confirmed.map(|it| millis(now - it));
+        let elapsed_ms = |confirmed: Option<Instant>| confirmed.map(|it| millis(now - it));
         let owners = match context.is_leader() {
             true => Some(0),
-            false => age(context.last_heartbeat.get()),
+            false => elapsed_ms(context.last_heartbeat.get()),
         };
         Self {
-            config_ms: age(context.config_confirmed.get()),
+            config_ms: elapsed_ms(context.config_confirmed.get()),
             targets_ms: context.targets.borrow().age(now).map(millis),
             owners_ms: owners,
         }
--- a/crates/cowslipcross/tests/events.rs
+++ b/crates/cowslipcross/tests/events.rs
@@ -90,7 +90,7 @@
     assert_eq!(json["process"], "entry-1");
     assert_eq!(json["data_centre"], "hk-1");
     assert_eq!(json["incarnation"], 7);
-    assert_eq!(json["wall"], event.timestamp.wall);
+    assert_eq!(json["wall"], event.stamp.wall);
     assert!(json.get("key").is_none());
     assert_eq!(page.events[1].code, "CC0999");
 }
--- a/crates/cowslipcross/tests/instance/deployment.rs
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns how often the targets executed the request with this id.
-    pub fn execution_count(&self, id: &str) -> u32 {
+    pub fn count_executions(&self, id: &str) -> u32 {
         let all = self.boards.iter().chain(&self.crews);
         all.map(|target| target.execution_count(id)).sum()
     }
--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -29,7 +29,7 @@
             assert_eq!(response.body, "strip it");
             assert_eq!(response.headers["x-request-id"], *id);
             assert_eq!(response.headers["x-response-signature"], "s");
-            assert_eq!(deployment.execution_count(&id), 1);
+            assert_eq!(deployment.count_executions(&id), 1);
         }
         let response = instance
             .send(booking_request("b"))
@@ -97,13 +97,13 @@
     ] {
         all().for_each(|target| target.set_mode(mode));
         for (id, request) in [("o", removal_request("o", 5)), ("b", booking_request("b"))] {
-            let before = deployment.execution_count(id);
+            let before = deployment.count_executions(id);
             let response = deployment.instances[0]
                 .send(request)
                 .await
                 .expect("a response");
             assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{id} {mode:?}");
-            assert_eq!(deployment.execution_count(id) - before, 1, "{id} {mode:?}");
+            assert_eq!(deployment.count_executions(id) - before, 1, "{id} {mode:?}");
         }
     }
 }
@@ -304,8 +304,8 @@
     }
     assert_eq!(
         (
-            deployment.execution_count("g"),
-            deployment.execution_count("h")
+            deployment.count_executions("g"),
+            deployment.count_executions("h")
         ),
         (1, 1)
     );
@@ -333,8 +333,8 @@
     assert_eq!(stopped.wait_for_exit().await, Some(0));
     assert_eq!(
         (
-            deployment.execution_count("t"),
-            deployment.execution_count("u")
+            deployment.count_executions("t"),
+            deployment.count_executions("u")
         ),
         (1, 1)
     );
