--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -50,7 +50,7 @@
     pub version: u64,
     /// Recorded assignments.
     pub table: Rc<AssignmentTable>,
-    /// Last change, if this instance wrote it as leader.
+    /// Last change, kept for the heartbeats; `None` unless this instance recorded it as leader.
     pub last_change: Option<AssignmentChange>,
 }
 
@@ -137,10 +137,10 @@
     pub splitters: RefCell<BTreeMap<Name, TrafficSplitter>>,
     /// State machine of the leader election.
     pub election: RefCell<LeaderElection>,
-    /// Assignment managers of this instance's time as leader.
+    /// State of the assignments while this instance leads.
     pub leader_state: Rc<RefCell<LeaderState>>,
     /// Version of the leader's row as last read, and the time on the store's clock after which no
-    /// grant of its writer is in force, if the row allows to tell.
+    /// grant of its writer is in force; that is `None` if the row does not contain it.
     pub observed_row: Cell<Option<(u64, Option<Duration>)>>,
     /// Time on the store's clock after which no grant of the previous leader is in force; `None` if
     /// it is not known or this instance did not replace the observed row.
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -43,22 +43,22 @@
         Self {
             responses: registry.counter_with_labels(
                 "answers_total",
-                "Responses to callers.",
+                "Answers to callers.",
                 response_labels,
             ),
             response_times: registry.histogram(
                 "answer_seconds",
-                "Time from the head of a request to the response.",
+                "Time from the head of a request to the answer.",
                 &["rank", "verdict"],
             ),
             bad_requests: registry.counter_with_labels(
                 "bad_requests_total",
-                "Invalid requests of callers.",
+                "Requests that are not valid.",
                 &["status"],
             ),
             attempts: registry.counter_with_labels(
                 "attempts_total",
-                "Attempts to send requests to targets, by how they ended.",
+                "Ends of attempts at targets.",
                 &["service", "end"],
             ),
             store_calls: registry.counter_with_labels(
@@ -68,7 +68,7 @@
             ),
             commands: registry.counter_with_labels(
                 "orders_total",
-                "Grants and releases sent to targets, by how they ended.",
+                "Orders to owners of keys.",
                 &["order", "end"],
             ),
             bad_datagrams: registry.counter(
@@ -77,11 +77,11 @@
             ),
             permit_timeouts: registry.counter(
                 "silent_holders_total",
-                "Coordinators passed over because they did not reply to permit requests.",
+                "Questions for a permit that got no reply.",
             ),
             retries: registry.counter_with_labels(
                 "repeats_total",
-                "Retries, by whether the instance's share of the retry budget allowed them.",
+                "Repeated sends that were asked of the instance's share of the bound.",
                 &["service", "end"],
             ),
             targets: registry.gauge("targets", "Targets that report themselves."),
@@ -93,10 +93,10 @@
                 .gauge("config_version", "Version of the configuration in force."),
             is_leader: registry.gauge("leads", "1 while this instance is the leader."),
             active_requests: registry.gauge("requests_in_progress", "Requests in progress."),
-            instances: registry.gauge("instances", "Instances as counted by the leader."),
+            instances: registry.gauge("instances", "Instances that the leader hears of."),
             view_ages: registry.gauge_with_labels(
                 "view_age_seconds",
-                "Time since data was last confirmed to be up to date.",
+                "Time since a view was confirmed last.",
                 &["view"],
             ),
             registry,
