--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -9,7 +9,7 @@
 
 /// Returns the time of the runtime's clock and of the clock that also runs while the system sleeps.
 ///
-/// Falls back to the monotonic clock, which does not count sleep, where `CLOCK_BOOTTIME` is missing.
+/// Without `CLOCK_BOOTTIME` it falls back to the monotonic clock, which does not count sleep.
 pub fn local_time() -> LocalTime {
     let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -284,8 +284,8 @@
         }
     }
 
-    /// Returns the local time with the latest time that the store's clock can show now; `None` until
-    /// the store has reported its clock.
+    /// Returns the local time with the latest time that the store's clock can show now; `None`
+    /// until the store has reported its clock.
     pub fn store_time_bound(&self) -> Option<StoreTimeBound> {
         let timestamp = self.election.borrow().store_timestamp()?;
         let now = clock::local_time();
@@ -351,8 +351,8 @@
         window.add_request(&budget, now);
     }
 
-    /// Counts a retry to a service and returns `true`, or returns `false` if this instance's share of
-    /// the retry budget is used up.
+    /// Counts a retry to a service and returns `true`, or returns `false` if this instance's share
+    /// of the retry budget is used up.
     pub fn reserve_retry(&self, service: &Name) -> bool {
         let now = Instant::now();
         let budget = self.retry_budget();
--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -21,7 +21,7 @@
     },
 };
 
-/// Time in which the head of a request must arrive, which also limits how long a connection is idle.
+/// Time in which the head of a request must arrive; also the longest idle time of a connection.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which a connection is closed.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -64,7 +64,8 @@
     101 INSTANCE_STARTED Info None; "started: {detail}";
         "The process has started and listens on its ports."; "Nothing.";
     102 SHUTDOWN_STARTED Info None; "shutdown started: {detail}";
-        "The process reports itself as not ready and finishes the requests in progress."; "Nothing.";
+        "The process reports itself as not ready and finishes the requests in progress.";
+        "Nothing.";
     103 SHUTDOWN_FINISHED Info None; "shutdown finished: {detail}";
         "The process ends: no request is in progress any more, or the grace period is over.";
         "Nothing.";
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -98,7 +98,7 @@
     );
 }
 
-/// Reloads the settings at each hang-up signal; if they are invalid, the previous ones stay in force.
+/// Reloads the settings at each hang-up signal; invalid ones leave the previous ones in force.
 async fn reload_settings(
     context: Rc<Context>,
     path: PathBuf,
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/stop.rs
@@ -15,8 +15,8 @@
     },
 };
 
-/// Time for which connections are accepted after the signal: the platform takes up to two seconds to
-/// notice that the instance is not ready.
+/// Time for which connections are accepted after the signal: the platform takes up to two seconds
+/// to notice that the instance is not ready.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2600);
 /// The process exits this long before the end of the grace period, at which it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(250);
--- a/crates/cowslipcross/tests/instance/deployment.rs
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -161,7 +161,7 @@
 }
 
 impl Deployment {
-    /// Starts a deployment and waits until every instance is ready and the sampled keys have owners.
+    /// Starts a deployment and waits until every instance is ready and sampled keys have owners.
     pub async fn start(
         instances: usize,
         boards: usize,
