--- a/crates/cowslipcross/src/clock.rs
+++ b/crates/cowslipcross/src/clock.rs
@@ -11,11 +11,11 @@
 ///
 /// Without `CLOCK_BOOTTIME` it falls back to the monotonic clock, which does not count sleep.
 pub fn local_time() -> LocalTime {
-    let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME)
+    let time_since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
         .map_or(Duration::ZERO, Duration::from);
     LocalTime {
         monotonic: Instant::now(),
-        since_boot: boot_time,
+        since_boot: time_since_boot,
     }
 }
--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -89,25 +89,27 @@
     pub events: EventLog,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Store client for reads of the operators' rows, which wait for changes.
+    /// Store client for reads of the operators' table (configuration and withdrawals). These wait
+    /// for changes, so they have a connection of their own.
     pub watch_store: Store,
-    /// Store client for reads of targets' reports.
+    /// Store client for reads of the table of targets.
     pub target_store: Store,
-    /// Store client for reads and writes of the router's own table.
+    /// Store client for the router's own table (leader's row and assignments).
     pub router_store: Store,
     /// Whether the store answered this instance's last call.
     pub store_reachable: Cell<bool>,
     /// Notified when the store answers again.
     pub store_recovered: Notify,
-    /// Serialises accesses to the router's own table.
+    /// Serialises calls to the router's own table: writes, and reads that must not overlap them.
     pub write_lock: Mutex<()>,
-    /// When the store last confirmed that the operators' rows are up to date.
+    /// When the store last confirmed that this instance has the latest operators' table.
     pub config_confirmed: Cell<Option<Instant>>,
-    /// Highest version of an operators' row that this instance has applied.
+    /// Highest version of a row of the operators' table that this instance has applied.
     pub operator_version: Cell<u64>,
-    /// Highest version of an operators' row that another instance has reported.
+    /// Highest version of a row of the operators' table that another instance has reported.
     reported_version: Cell<u64>,
-    /// Notified when another instance has read operators' rows that this one has not.
+    /// Notified when another instance has applied a change of the operators' table that this one
+    /// has not read.
     pub config_stale: Notify,
     /// Configuration in force; `None` before the first one was read.
     pub config: RefCell<Option<Rc<Config>>>,
@@ -115,7 +117,7 @@
     pub routes: RefCell<Rc<Routes>>,
     /// Targets as last read from the store or received from the leader.
     pub targets: RefCell<Rc<Targets>>,
-    /// Last known addresses of targets: one whose report has lapsed may still own keys.
+    /// Last known addresses of targets: one whose report has expired may still own keys.
     pub target_addresses: RefCell<BTreeMap<Name, TargetAddress>>,
     /// Latest changes of targets, sent to the other instances while this one leads.
     pub target_updates: RefCell<News>,
@@ -123,9 +125,10 @@
     pub updates_missed: Notify,
     /// Withdrawn data centres, with the time at which this instance learned of it.
     pub withdrawn: RefCell<BTreeMap<Name, Instant>>,
-    /// Recorded assignments by service.
+    /// Assignments by service, as recorded in the store.
     pub owners: RefCell<BTreeMap<Name, RecordedAssignments>>,
-    /// Requests for missed assignments since the last reply, and when the last one was sent.
+    /// Number of requests for assignments that heartbeats did not contain in full, since the last
+    /// reply, and when the last one was sent.
     pub owner_requests: Cell<(u32, Option<Instant>)>,
     /// Keys whose owner refused a request a moment ago.
     pub blocked_keys: RefCell<Blocks>,
@@ -140,10 +143,11 @@
     /// State of the assignments while this instance leads.
     pub leader_state: Rc<RefCell<LeaderState>>,
     /// Version of the leader's row as last read, and the time on the store's clock after which no
-    /// grant of its writer is in force; that is `None` if the row does not contain it.
+    /// grant of its writer is in force. The time is `None` if the row does not tell it; all is
+    /// `None` before the first read.
     pub observed_row: Cell<Option<(u64, Option<Duration>)>>,
-    /// Time on the store's clock after which no grant of the previous leader is in force; `None` if
-    /// it is not known or this instance did not replace the observed row.
+    /// Time of [`Self::observed_row`] at the moment when this instance replaced that row as leader;
+    /// `None` if it is not known, or if grants of this instance itself may last longer.
     pub grants_expire: Cell<Option<Duration>>,
     /// UDP socket for messages between instances.
     pub peer_socket: Port,
@@ -163,11 +167,13 @@
     pub key_counts: RefCell<KeyCounts>,
     /// Load reports of all instances; used by the leader.
     pub peer_reports: RefCell<Reports>,
-    /// Notified when targets, assignments, configuration or withdrawals change.
+    /// Notified when targets, assignments, configuration or withdrawals change; requests without a
+    /// target wait for it.
     pub routing_changed: Notify,
-    /// Notified when the router's own table has to be read at once.
+    /// Notified when the router's own table has to be read at once by the task that keeps the
+    /// leader's row.
     pub refresh_requested: Notify,
-    /// Notified when the leader loop has something to do.
+    /// Notified when the leader loop has something to do before its next interval.
     pub leader_work: Notify,
     /// When the stop signal arrived.
     pub stopping_since: Cell<Option<Instant>>,
@@ -272,7 +278,7 @@
         self.election.borrow().is_leader(clock::local_time())
     }
 
-    /// Returns the bounds on grants of the leaders before this instance.
+    /// Returns when grants of earlier leaders end and how far the store's clock is at least.
     pub fn previous_leaders(&self) -> PreviousLeaders {
         PreviousLeaders {
             grants_expire: self.grants_expire.get(),
@@ -326,7 +332,7 @@
         !self.is_leader() && last.is_some_and(|last| last.elapsed() <= HEARTBEAT_TIMEOUT)
     }
 
-    /// Records the version of the operators' rows that another instance has applied.
+    /// Records the version of the operators' table that another instance has applied.
     pub fn update_reported_version(&self, version: u64) {
         self.reported_version
             .set(version.max(self.reported_version.get()));
@@ -335,7 +341,8 @@
         }
     }
 
-    /// Returns whether another instance has applied operators' rows that this one has not read.
+    /// Returns whether another instance has applied a change of the operators' table that this one
+    /// has not read.
     pub fn is_config_stale(&self) -> bool {
         self.operator_version.get() < self.reported_version.get()
     }
--- a/crates/cowslipcross/src/events.rs
+++ b/crates/cowslipcross/src/events.rs
@@ -103,7 +103,7 @@
         self.state().clock.advance()
     }
 
-    /// Moves the clock past the timestamp of a received message.
+    /// Moves the clock to the timestamp of a received message, so that later ones are above it.
     pub fn observe_timestamp(&self, timestamp: HybridTimestamp) {
         self.state().clock.observe_timestamp(timestamp);
     }
--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -6,7 +6,7 @@
 };
 
 /// Events recorded per second of a frequent kind; further ones are only counted.
-const FREQUENT: Option<u32> = Some(50);
+const FREQUENT_RATE: Option<u32> = Some(50);
 
 /// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -69,7 +69,7 @@
     103 SHUTDOWN_FINISHED Info None; "shutdown finished: {detail}";
         "The process ends: no request is in progress any more, or the grace period is over.";
         "Nothing.";
-    106 CONNECTION_REFUSED Warn FREQUENT; "connection of a caller not accepted: {detail}";
+    106 CONNECTION_REFUSED Warn FREQUENT_RATE; "connection of a caller not accepted: {detail}";
         "A connection could not be accepted, for lack of file descriptors for example.";
         "Look for callers that leave connections open.";
     107 TASK_FAILED Error None; "task failed to start: {detail}";
@@ -88,19 +88,19 @@
         "Targets of the data centre get no new work from this instance."; "Nothing.";
     307 DATA_CENTRE_RESTORED Info None; "data centre restored: {detail}";
         "Targets of the data centre may get new work again."; "Nothing.";
-    404 TARGET_SHED Debug FREQUENT; "target {target} shed request {request}: {detail}";
+    404 TARGET_SHED Debug FREQUENT_RATE; "target {target} shed request {request}: {detail}";
         "The target refused a request without running it.";
         "If it is frequent, compare the slots that the target reports with the load it can serve.";
     405 TARGET_DRAINING Info None; "target {target} draining: {detail}";
         "The target finishes its work and gets no new work."; "Nothing.";
-    409 GRANT_REFUSED Warn FREQUENT; "target {target} refused a grant: {detail}";
+    409 GRANT_REFUSED Warn FREQUENT_RATE; "target {target} refused a grant: {detail}";
         "The target has seen a higher fence for these keys than that of the grant.";
         "Nothing, if it ends within seconds of a move.";
-    502 BAD_REQUEST Debug FREQUENT; "bad request {request}: {detail}";
+    502 BAD_REQUEST Debug FREQUENT_RATE; "bad request {request}: {detail}";
         "A caller sent an invalid request."; "Tell the caller's team.";
-    504 RETRY Debug FREQUENT; "request {request} retried: {detail}";
+    504 RETRY Debug FREQUENT_RATE; "request {request} retried: {detail}";
         "An attempt ended as `not-run`, or the request is idempotent."; "Nothing.";
-    510 MAY_HAVE_RUN Warn FREQUENT; "no complete response to request {request}: {detail}";
+    510 MAY_HAVE_RUN Warn FREQUENT_RATE; "no complete response to request {request}: {detail}";
         "The target sent no complete response; the verdict is `may-have-run`.";
         "See the page on unserved requests.";
     601 SETTINGS_RELOADED Info None; "settings reloaded: {detail}";
@@ -112,13 +112,13 @@
         "See the page on outages of the store.";
     604 STORE_RECOVERED Info None; "store available: {detail}";
         "The platform's store answers this task again."; "Nothing.";
-    605 TARGET_REPORT_INVALID Warn FREQUENT; "report of a target skipped: {detail}";
+    605 TARGET_REPORT_INVALID Warn FREQUENT_RATE; "report of a target skipped: {detail}";
         "A row in the table of targets cannot be read; the other rows are used.";
         "Find out who writes to the table of targets.";
-    606 ROW_INVALID Error FREQUENT; "row refused: {detail}";
+    606 ROW_INVALID Error FREQUENT_RATE; "row refused: {detail}";
         "A row of the router's own table cannot be read; the previous value stays in use.";
         "Find out who writes to the table.";
-    607 WRITE_UNANSWERED Warn FREQUENT; "write not answered: {detail}";
+    607 WRITE_UNANSWERED Warn FREQUENT_RATE; "write not answered: {detail}";
         "The store may have carried out a write of the leader, or may do so later; the leader reads it back.";
         "Nothing, if `CC0609` does not follow.";
     608 LEADERSHIP_GAINED Info None; "leader: {detail}";
@@ -126,33 +126,33 @@
     609 LEADERSHIP_LOST Warn None; "no longer leader: {detail}";
         "Another instance takes over once the lease has expired.";
         "Nothing, if another instance reports `CC0608`.";
-    610 WRITE_REFUSED Warn FREQUENT; "write refused: {detail}";
-        "The store did not carry out a write of the leader."; "Look at the platform.";
-    611 TARGET_ADDED Info FREQUENT; "target {target} found: {detail}";
+    610 WRITE_REFUSED Warn FREQUENT_RATE; "write refused: {detail}";
+        "The store did not carry out a write of the leader."; "Look at the store of the platform.";
+    611 TARGET_ADDED Info FREQUENT_RATE; "target {target} found: {detail}";
         "A target reports itself for the first time, or after a restart."; "Nothing.";
-    612 TARGET_REMOVED Info FREQUENT; "target {target} gone: {detail}";
+    612 TARGET_REMOVED Info FREQUENT_RATE; "target {target} gone: {detail}";
         "A target's report is no longer in the store; the target gets no new work."; "Nothing.";
-    613 ASSIGNMENT_RELEASED Info FREQUENT; "keys {key} released by target {target}: {detail}";
+    613 ASSIGNMENT_RELEASED Info FREQUENT_RATE; "keys {key} released by target {target}: {detail}";
         "The target has given up keys that the leader assigns to another target."; "Nothing.";
-    614 COMMAND_FAILED Warn FREQUENT; "command for keys {key} to target {target} failed: {detail}";
-        "A grant or a release failed; the leader sends it again as long as it is needed.";
+    614 COMMAND_FAILED Warn FREQUENT_RATE; "command for keys {key} to target {target} failed: {detail}";
+        "A grant or a release failed; the leader sends it again while the target is to own or release the keys.";
         "If it lasts, look at the network between the leader and the target.";
     615 EVENTS_SKIPPED Info None; "events not recorded so far: {detail}";
         "Some kinds of event exceeded their rate; the counts are since the start of the process.";
         "Nothing; the metrics count every one.";
-    616 RELEASE_STARTED Info FREQUENT; "release of keys {key} requested from target {target}: {detail}";
-        "The leader takes keys back; the target replies when its work on them is done, and requests wait too.";
+    616 RELEASE_STARTED Info FREQUENT_RATE; "release of keys {key} requested from target {target}: {detail}";
+        "The leader takes keys back; the target replies when its work on them is done, and new requests for them wait.";
         "Nothing, if `CC0613` follows.";
-    701 UNSERVED Info FREQUENT; "request {request} unserved: {detail}";
-        "A caller got a response that is not a target's, with its verdict and reason.";
+    701 UNSERVED Info FREQUENT_RATE; "request {request} unserved: {detail}";
+        "The router answered a caller in place of a target, with a verdict and a reason.";
         "See the page on unserved requests.";
-    702 WRONG_OWNER Info FREQUENT; "request {request} refused by target {target}: {detail}";
+    702 WRONG_OWNER Info FREQUENT_RATE; "request {request} refused by target {target}: {detail}";
         "The target does not own the key any more; the request waits for the next assignments.";
         "Nothing, if it ends within a second.";
-    703 NO_CONNECTION Info FREQUENT; "request {request} not sent to target {target}: {detail}";
+    703 NO_CONNECTION Info FREQUENT_RATE; "request {request} not sent to target {target}: {detail}";
         "The target accepted no connection; nothing was sent.";
         "If it lasts, look at the target and at the network to it.";
-    999 UNKNOWN_CODE Error FREQUENT; "unlisted event: {detail}";
+    999 UNKNOWN_CODE Error FREQUENT_RATE; "unlisted event: {detail}";
         "The program used a number that is not in this catalogue."; "Report it to the developers.";
 }
 
--- a/crates/cowslipcross/src/events/ring.rs
+++ b/crates/cowslipcross/src/events/ring.rs
@@ -15,7 +15,7 @@
 pub struct Event {
     /// Sequence number in this run of the process, from 1 without gaps.
     pub seq: u64,
-    /// When it happened.
+    /// Hybrid timestamp of the event.
     #[serde(flatten)]
     pub stamp: HybridTimestamp,
     /// Instance that recorded it.
@@ -155,6 +155,7 @@
 }
 
 impl RateLimit {
+    /// Counts an event and returns whether it is within the rate.
     fn admit(&mut self, timestamp: HybridTimestamp, max_rate: u32) -> bool {
         let second = timestamp.wall / 1000;
         if second > self.second {
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -1,8 +1,10 @@
-//! Starts the tasks of an instance; everything durable is in the platform's store.
+//! Starts the tasks of an instance, which keeps nothing on disk: durable data is in the platform's
+//! store.
 //!
 //! Every instance reads the configuration and the targets from the store. One of them, the leader,
 //! assigns keys to targets, records the assignments and grants them; the others use the recorded
-//! assignments. All tasks run on one thread, as an instance may have only a fifth of a core.
+//! assignments. All tasks run on one thread: more gain nothing with a fifth of a core, which an
+//! instance may be limited to.
 
 use {
     crate::{
@@ -32,7 +34,7 @@
 /// Connections that the kernel queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Interval of the events that report skipped events.
+/// Interval of the events that report which events were skipped by their rate limit.
 const SKIPPED_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an instance with the settings of a file until a signal stops it.
@@ -116,11 +118,12 @@
     }
 }
 
-/// Records how many events were skipped by their rate, whenever the numbers have changed.
+/// Records how many events were skipped by their rate limit, whenever the numbers have changed.
 async fn report_skipped_events(context: Rc<Context>) {
     let mut reported = BTreeMap::new();
     loop {
         sleep(SKIPPED_REPORT_INTERVAL).await;
+        // Only the counts: no event has a number that high.
         let skipped = context.events.events_after(u64::MAX).skipped;
         if skipped != reported {
             let counts = skipped
@@ -135,11 +138,11 @@
 
 /// Listens on a TCP address.
 fn bind(address: SocketAddr) -> Result<TcpListener> {
-    let listen = || {
+    let open_listener = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(LISTEN_BACKLOG)
     };
-    listen().wrap_err_with(|| format!("cannot listen on {address}"))
+    open_listener().wrap_err_with(|| format!("cannot listen on {address}"))
 }
--- a/crates/cowslipcross/src/main.rs
+++ b/crates/cowslipcross/src/main.rs
@@ -51,7 +51,7 @@
                 .long("set")
                 .value_name("PATH=VALUE")
                 .action(ArgAction::Append)
-                .help("Overrides one field of the settings, such as listen.callers=10.1.0.4:8080"),
+                .help("Overrides a field of the settings by its path, such as listen.callers=10.1.0.4:8080"),
         )
         .after_help(EXAMPLES)
 }
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -149,30 +149,32 @@
 
     /// Counts a retry that was requested, and whether the retry budget allowed it.
     pub fn count_retry(&self, service: &str, allowed: bool) {
-        let end = if allowed { "sent" } else { "refused" };
-        self.retries.with_label_values(&[service, end]).inc();
+        let outcome = if allowed { "sent" } else { "refused" };
+        self.retries.with_label_values(&[service, outcome]).inc();
     }
 
     /// Counts a call to the store.
-    pub fn count_store_call(&self, what: &str, ok: bool) {
-        let end = if ok { "ok" } else { "failed" };
-        self.store_calls.with_label_values(&[what, end]).inc();
+    pub fn count_store_call(&self, operation: &str, ok: bool) {
+        let outcome = if ok { "ok" } else { "failed" };
+        self.store_calls
+            .with_label_values(&[operation, outcome])
+            .inc();
     }
 
     /// Counts a command to a target.
-    pub fn count_command(&self, command: &Command, outcome: &CommandOutcome) {
+    pub fn count_command(&self, command: &Command, result: &CommandOutcome) {
         let kind = match command {
             Command::Grant { .. } => "grant",
             Command::Release { .. } => "release",
         };
-        let end = match outcome {
+        let outcome = match result {
             CommandOutcome::Accepted | CommandOutcome::Released(_) => "done",
             CommandOutcome::StaleFence => "outdated",
             CommandOutcome::Unsent => "unsent",
             CommandOutcome::TargetEnded => "ended",
             CommandOutcome::Unknown => "unknown",
         };
-        self.commands.with_label_values(&[kind, end]).inc();
+        self.commands.with_label_values(&[kind, outcome]).inc();
     }
 
     /// Counts a datagram that could not be sent or read.
@@ -203,7 +205,7 @@
         self.registry.render()
     }
 
-    /// Sets the ages of the data that was ever confirmed.
+    /// Sets the ages of the data (views) that this instance has read or received.
     fn set_view_ages(&self, ages: ViewAges) {
         let views = [
             ("configuration", ages.config_ms),
--- a/crates/cowslipcross/src/metrics/registry.rs
+++ b/crates/cowslipcross/src/metrics/registry.rs
@@ -23,8 +23,8 @@
         &self.names
     }
 
-    /// Returns all metrics in the Prometheus text format, or a comment with the error if they cannot
-    /// be encoded.
+    /// Returns all metrics in the Prometheus text format, or a comment with the error if encoding
+    /// fails.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.inner.gather(), &mut text) {
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/stop.rs
@@ -16,7 +16,7 @@
 };
 
 /// Time for which connections are accepted after the signal: the platform takes up to two seconds
-/// to notice that the instance is not ready.
+/// to notice that the instance is not ready; the rest is a margin.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2600);
 /// The process exits this long before the end of the grace period, at which it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(250);
@@ -42,6 +42,7 @@
     sleep_until(deadline.min(started + ACCEPT_DURATION)).await;
     accept_task.abort();
     connections.close();
+    // A request can outlive its caller's connection, as non-idempotent ones run to their end.
     while Instant::now() < deadline
         && (connections.count() > 0 || context.active_requests.get() > 0)
     {
--- a/crates/cowslipcross/tests/events.rs
+++ b/crates/cowslipcross/tests/events.rs
@@ -41,6 +41,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn timestamps_follow_causality_across_processes() {
+    // Covers equal and later milliseconds, and counters at and below their overflow.
     let (left, right) = (event_log(10), event_log(10));
     let mut last = left.next_timestamp();
     for step in 0..100 {
--- a/crates/cowslipcross/tests/instance/deployment.rs
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -115,9 +115,9 @@
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let mut command = Command::new("kill");
-        let sent = ports::spawn_process(command.args(["-s", name, &id]));
-        let ended = sent.expect("kill starts").wait();
-        assert!(ended.is_ok_and(|it| it.success()), "signal {name}");
+        let kill = ports::spawn_process(command.args(["-s", name, &id]));
+        let status = kill.expect("kill starts").wait();
+        assert!(status.is_ok_and(|it| it.success()), "signal {name}");
     }
 
     /// Waits for the process to exit and returns its exit code; `None` after 10 s or if a signal
@@ -176,18 +176,20 @@
             crews: Vec::new(),
             instances: Vec::new(),
         };
-        for at in 0..boards {
-            let options = target_options(&format!("b{at}"), "boards", true, slots, processing_time);
+        for index in 0..boards {
+            let options =
+                target_options(&format!("b{index}"), "boards", true, slots, processing_time);
             deployment.boards.push(FakeTarget::start(options).await);
         }
-        for at in 0..2 {
-            let options = target_options(&format!("c{at}"), "crews", false, slots, processing_time);
+        for index in 0..2 {
+            let options =
+                target_options(&format!("c{index}"), "crews", false, slots, processing_time);
             deployment.crews.push(FakeTarget::start(options).await);
         }
         let all = deployment.boards.iter().chain(&deployment.crews);
         all.for_each(|target| target.publish_report(&deployment.store, "ready"));
-        for at in 0..instances {
-            let instance = Instance::start(&format!("i{at}"), deployment.store.address());
+        for index in 0..instances {
+            let instance = Instance::start(&format!("i{index}"), deployment.store.address());
             deployment.instances.push(instance);
         }
         deployment.wait_until_ready().await;
@@ -270,6 +272,8 @@
         .expect("a valid request")
 }
 
+/// Returns the options of a target; number 0 of a service is in the data centre `east`, the others
+/// in `west`.
 fn target_options(
     id: &str,
     service: &str,
--- a/crates/cowslipcross/tests/instance/operators.rs
+++ b/crates/cowslipcross/tests/instance/operators.rs
@@ -46,6 +46,7 @@
         (&status["ready"], &status["leads"]),
         (&true.into(), &true.into())
     );
+    // Version `r5` of the configuration; 2 targets of each of the two services.
     assert_eq!(
         (&status["config"], &status["targets"]),
         (&5.into(), &4.into())
--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -53,6 +53,7 @@
         let request = Request::builder().uri(path).header("host", "front.example");
         request.body(Full::default()).expect("a valid request")
     };
+    // `/other/` has no route; the route of `/lost/` names a service that is not configured.
     let cases = [
         (request("GET", "/other/", "a", "1", Bytes::new()), 404),
         (request("GET", "/lost/x", "b", "1", Bytes::new()), 404),
@@ -72,6 +73,7 @@
         .put("servers", "forged", br#"{"Service":7}"#);
     deployment.store.put("servers", "garbage", b"\xff\xfe");
     deployment.store.put("op", "config", b"no configuration");
+    // Long enough for the instance to read these rows.
     sleep(Duration::from_millis(1600)).await;
     let response = instance
         .send(lookup_request("f", 9))
@@ -112,13 +114,13 @@
 async fn keys_are_served_again_after_the_leader_is_killed() {
     let mut deployment = Deployment::start(3, 3, 2, PROCESSING_TIME).await;
     let mut leader = None;
-    for (at, instance) in deployment.instances.iter().enumerate() {
+    for (index, instance) in deployment.instances.iter().enumerate() {
         if instance
             .metrics()
             .await
             .contains("\ncowslipcross_leads 1\n")
         {
-            leader = Some(at);
+            leader = Some(index);
         }
     }
     drop(
@@ -135,9 +137,9 @@
         owned.iter().all(|owners| *owners == 1)
     })
     .await;
-    for (at, instance) in deployment.instances.iter().enumerate() {
+    for (index, instance) in deployment.instances.iter().enumerate() {
         let response = instance
-            .send(lookup_request(&format!("l{at}"), 3))
+            .send(lookup_request(&format!("l{index}"), 3))
             .await
             .expect("a response");
         assert_eq!(response.status, StatusCode::OK);
@@ -149,7 +151,8 @@
     let deployment = Deployment::start(2, 3, 2, PROCESSING_TIME).await;
     deployment.crews[1].publish_report(&deployment.store, "draining");
     deployment.store.put("op", "evacuate/east", b"{}");
-    // The first target of each service is in the east, so no target is left for bookings.
+    // The first target of each service is in the east, so no target is left for bookings once the
+    // instances have read these rows.
     sleep(Duration::from_millis(2000)).await;
     let before = deployment.crews[1].total_executions();
     let response = deployment.instances[0]
@@ -224,6 +227,7 @@
     deployment
         .store
         .put("op", "config", build_config("r6", "boards").as_bytes());
+    // Long enough for the instances to read the older configuration.
     sleep(Duration::from_millis(1500)).await;
     let before = deployment.boards[0].total_executions() + deployment.boards[1].total_executions();
     for instance in &deployment.instances {
@@ -243,8 +247,8 @@
     let deployment = Deployment::start(2, 2, 2, PROCESSING_TIME).await;
     deployment.store.set_mode(store::StoreMode::Unavailable);
     for round in 0..50 {
-        for (at, instance) in deployment.instances.iter().enumerate() {
-            let id = format!("s{round}-{at}");
+        for (index, instance) in deployment.instances.iter().enumerate() {
+            let id = format!("s{round}-{index}");
             let response = instance
                 .send(removal_request(&id, round * 1300))
                 .await
@@ -261,15 +265,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn many_instances_do_not_exceed_the_slots_of_a_target() {
-    // Eight times as many requests at once as the owner has slots.
+    // 16 concurrent requests to an owner with 2 slots.
     let deployment = Deployment::start(4, 1, 2, Duration::from_millis(60)).await;
     let sends = deployment
         .instances
         .iter()
         .enumerate()
-        .flat_map(|(at, instance)| {
+        .flat_map(|(index, instance)| {
             (0..4).map(move |number| async move {
-                let id = format!("f{at}-{number}");
+                let id = format!("f{index}-{number}");
                 instance
                     .send(lookup_request(&id, 40))
                     .await
@@ -284,6 +288,7 @@
     );
     let owner = &deployment.boards[0];
     assert_eq!(owner.shed_requests(), 0);
+    // One permit above the slots is granted while requests are queued.
     assert!(
         owner.peak_concurrency() <= 3,
         "{} at once",
