--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         events::{EventCode, EventFields, EventLog, Origin, logger},
-        lead::keep::{LeaderState, Reports},
+        lead::leader_loop::{LeaderState, PeerReports},
         metrics::Metrics,
         peers::{datagram::Port, membership::Membership},
         serve::{block::Blocks, line::Line, permit::Permits, route::Routes},
@@ -166,7 +166,7 @@
     /// Requests by service and key since the last report to the leader.
     pub key_counts: RefCell<KeyCounts>,
     /// Load reports of all instances; used by the leader.
-    pub peer_reports: RefCell<Reports>,
+    pub peer_reports: RefCell<PeerReports>,
     /// Notified when targets, assignments, configuration or withdrawals change; requests without a
     /// target wait for it.
     pub routing_changed: Notify,
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -11,7 +11,7 @@
         context::Context,
         endpoints,
         events::{self, EventFields},
-        lead::{keep, seat},
+        lead::{leader_loop, leader_row},
         peers::{beat, datagram},
         serve::{entry, permit},
         stop,
@@ -76,8 +76,8 @@
     spawn_local(datagram::receive(context.clone()));
     spawn_local(beat::report(context.clone()));
     spawn_local(permit::serve(context.clone()));
-    spawn_local(seat::hold(context.clone()));
-    spawn_local(keep::keep(context.clone()));
+    spawn_local(leader_row::run_election(context.clone()));
+    spawn_local(leader_loop::run(context.clone()));
     spawn_local(report_skipped_events(context.clone()));
     spawn_local(reload_settings(context.clone(), path, overrides, reload));
     let connections = entry::Conns::default();
--- /dev/null
+++ b/crates/cowslipcross/src/lead/target_status.rs
@@ -0,0 +1,36 @@
+//! Which targets may own keys.
+
+use {
+    crate::{context::Context, views::seen::Seen},
+    cowslip_decide::names::Name,
+    std::collections::BTreeMap,
+    tokio::time::Instant,
+};
+
+/// Whether a target may own keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TargetStatus {
+    /// Incarnation that runs now.
+    pub incarnation: u64,
+    /// Whether the target is neither draining nor in a withdrawn data centre.
+    pub can_own: bool,
+    /// Whether the target is cold.
+    pub is_cold: bool,
+}
+
+/// Returns the status of each target of a service.
+pub fn target_statuses(context: &Context, service: &str) -> BTreeMap<Name, TargetStatus> {
+    let now = Instant::now();
+    let targets = context.targets.borrow();
+    let withdrawn = context.withdrawn.borrow();
+    let status = |view: &Seen| {
+        let target = &view.target;
+        let status = TargetStatus {
+            incarnation: target.incarnation,
+            can_own: view.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
+            is_cold: view.is_cold(now),
+        };
+        (target.id.clone(), status)
+    };
+    targets.of(service).map(status).collect()
+}
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/stop.rs
@@ -4,7 +4,7 @@
     crate::{
         context::Context,
         events::{self, EventFields},
-        lead::seat,
+        lead::leader_row,
         serve::entry::Conns,
     },
     std::time::Duration,
@@ -38,7 +38,7 @@
     context
         .events
         .record(events::SHUTDOWN_STARTED, EventFields::default());
-    seat::resign(context).await;
+    leader_row::resign(context).await;
     sleep_until(deadline.min(started + ACCEPT_DURATION)).await;
     accept_task.abort();
     connections.close();
