--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -7,7 +7,10 @@
         lead::keep::{LeaderState, Reports},
         metrics::Metrics,
         peers::{datagram::Port, membership::Membership},
-        serve::{block::Blocks, line::Line, permit::Permits, route::Routes},
+        serve::{
+            blocked_keys::BlockedKeys, permits::Permits, routes::Routes,
+            target_connections::TargetConnections,
+        },
         views::{news::News, seen::Targets},
     },
     cowslip_adapter::{config::Config, store::Store},
@@ -128,9 +131,9 @@
     /// Requests for missed assignments since the last reply, and when the last one was sent.
     pub owner_requests: Cell<(u32, Option<Instant>)>,
     /// Keys whose owner refused a request a moment ago.
-    pub blocked_keys: RefCell<Blocks>,
+    pub blocked_keys: RefCell<BlockedKeys>,
     /// Connections to targets, with their load.
-    pub connections: RefCell<BTreeMap<Name, Rc<Line>>>,
+    pub connections: RefCell<BTreeMap<Name, Rc<TargetConnections>>>,
     /// Requests and retries by service within the retry window.
     pub retry_windows: RefCell<BTreeMap<Name, RetryWindow>>,
     /// Weighted distribution of each route's requests over services.
--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        serve::{answer::Body, count::Counted},
+        serve::{counter_guard::CounterGuard, response::ResponseBody},
         status::Status,
     },
     bytes::Bytes,
@@ -47,7 +47,7 @@
     serve(listener, move |request| page(&context, request)).await;
 }
 
-fn page(context: &Context, request: &Request<Incoming>) -> Response<Body> {
+fn page(context: &Context, request: &Request<Incoming>) -> Response<ResponseBody> {
     match request.uri().path() {
         "/healthz" => plain(StatusCode::OK, "ok"),
         "/metrics" => Response::new(Full::new(context.metrics.render(context).into())),
@@ -91,7 +91,7 @@
 
 async fn serve(
     listener: TcpListener,
-    answer: impl Fn(&Request<Incoming>) -> Response<Body> + 'static,
+    answer: impl Fn(&Request<Incoming>) -> Response<ResponseBody> + 'static,
 ) {
     let (answer, open) = (Rc::new(answer), Rc::new(Cell::new(0)));
     loop {
@@ -108,10 +108,10 @@
 /// Serves one connection for at most its life.
 async fn connection(
     stream: TcpStream,
-    answer: Rc<impl Fn(&Request<Incoming>) -> Response<Body> + 'static>,
+    answer: Rc<impl Fn(&Request<Incoming>) -> Response<ResponseBody> + 'static>,
     open: Rc<Cell<u32>>,
 ) {
-    let _counted = Counted::new(&open);
+    let _counted = CounterGuard::new(&open);
     let service = service_fn(move |request| {
         let response = answer(&request);
         async move { Ok::<_, Infallible>(response) }
@@ -124,7 +124,7 @@
     let _ = timeout(LIFE, connection).await;
 }
 
-fn json(value: &impl Serialize) -> Response<Body> {
+fn json(value: &impl Serialize) -> Response<ResponseBody> {
     match serde_json::to_vec(value) {
         Ok(body) => {
             let mut response = Response::new(Full::new(body.into()));
@@ -136,7 +136,7 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -11,7 +11,7 @@
         events::{self, EventFields},
         lead::{keep, seat},
         peers::{beat, datagram},
-        serve::{entry, permit},
+        serve::{permits, server},
         shutdown,
         views::{config, targets},
     },
@@ -73,13 +73,17 @@
     spawn_local(targets::follow(context.clone()));
     spawn_local(datagram::receive(context.clone()));
     spawn_local(beat::report(context.clone()));
-    spawn_local(permit::serve(context.clone()));
+    spawn_local(permits::process_queues(context.clone()));
     spawn_local(seat::hold(context.clone()));
     spawn_local(keep::keep(context.clone()));
     spawn_local(tell_thinned(context.clone()));
     spawn_local(reloads(context.clone(), path, overrides, reload));
-    let conns = entry::Conns::default();
-    let accepting = spawn_local(entry::accept(context.clone(), callers, conns.clone()));
+    let conns = server::CallerConnections::default();
+    let accepting = spawn_local(server::accept_connections(
+        context.clone(),
+        callers,
+        conns.clone(),
+    ));
     shutdown::drain_after_signal(terminate, &context, &conns, accepting).await;
     Ok(())
 }
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         context::Context,
-        serve::{answer::Answer, exchange::End, request::BadRequest},
+        serve::{exchange::ExchangeOutcome, request::BadRequest, response::RequestOutcome},
         status::ViewAges,
     },
     cowslip_adapter::config::Route,
@@ -102,7 +102,7 @@
     }
 
     /// Counts an answer to a caller.
-    pub fn count_response(&self, route: &Route, answer: &Answer, time: Duration) {
+    pub fn count_response(&self, route: &Route, answer: &RequestOutcome, time: Duration) {
         let rank = route.priority.to_string();
         let kind = match route.idempotent {
             true => "repeatable",
@@ -124,14 +124,14 @@
     }
 
     /// Counts the end of an attempt.
-    pub fn count_attempt(&self, service: &str, end: &End) {
+    pub fn count_attempt(&self, service: &str, end: &ExchangeOutcome) {
         let word = match end {
-            End::Whole(whole) if whole.status.is_server_error() => "error",
-            End::Whole(_) => "answer",
-            End::Unrun(_) => "refused",
-            End::Unsent(_) => "unsent",
-            End::Broken(_) => "broken",
-            End::Late => "late",
+            ExchangeOutcome::Completed(whole) if whole.status.is_server_error() => "error",
+            ExchangeOutcome::Completed(_) => "answer",
+            ExchangeOutcome::NotExecuted(_) => "refused",
+            ExchangeOutcome::Unsent(_) => "unsent",
+            ExchangeOutcome::Broken(_) => "broken",
+            ExchangeOutcome::DeadlinePassed => "late",
         };
         self.attempts.with_label_values(&[service, word]).inc();
     }
--- a/crates/cowslipcross/src/peers/beat.rs
+++ b/crates/cowslipcross/src/peers/beat.rs
@@ -12,7 +12,7 @@
             message::{Heartbeat, Message, Report},
             owners,
         },
-        serve::permit,
+        serve::permits,
         views::{news, targets},
     },
     cowslip_decide::names::Name,
@@ -97,7 +97,7 @@
             membership: context.membership.borrow().hash(),
             config: context.operator_version.get(),
             keys: drain(&context),
-            paces: permit::paces(&context),
+            paces: permits::service_times(&context),
         };
         match context.leader_address.get() {
             Some(own) if own == context.settings.listen.heartbeats => {
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -9,7 +9,7 @@
             message::Message,
             owners,
         },
-        serve::permit,
+        serve::permits,
     },
     std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
@@ -72,7 +72,7 @@
         Message::Owners(service, recorded) => owners::replace(context, &service, &recorded),
         Message::Lead => context.refresh_requested.notify_one(),
         Message::Report(report) => beat::reported(context, report, from),
-        about_permits => permit::take(context, about_permits, from),
+        about_permits => permits::handle_message(context, about_permits, from),
     }
 }
 
--- a/crates/cowslipcross/src/serve.rs
+++ b/crates/cowslipcross/src/serve.rs
@@ -1,13 +1,13 @@
 //! The way of a request, from a caller's connection to a target and back.
 
-pub mod answer;
-pub mod block;
-pub mod choose;
-pub mod count;
-pub mod deliver;
-pub mod entry;
+pub mod blocked_keys;
+pub mod counter_guard;
 pub mod exchange;
-pub mod line;
-pub mod permit;
+pub mod forward;
+pub mod permits;
 pub mod request;
-pub mod route;
+pub mod response;
+pub mod routes;
+pub mod server;
+pub mod target_connections;
+pub mod target_selection;
--- a/crates/cowslipcross/src/serve/block.rs
+++ b/crates/cowslipcross/src/serve/blocked_keys.rs
@@ -18,25 +18,25 @@
 ///
 /// Requests for them wait for another owner, so that one refusal does for all of them.
 #[derive(Debug, Default)]
-pub struct Blocks(BTreeMap<(Name, u16), Block>);
+pub struct BlockedKeys(BTreeMap<(Name, u16), BlockedAssignment>);
 
 #[derive(Debug)]
-struct Block {
+struct BlockedAssignment {
     fence: Fence,
     until: Instant,
     wait: Duration,
 }
 
-impl Blocks {
+impl BlockedKeys {
     /// Takes the refusal of a request by the owner of a piece.
-    pub fn refused(&mut self, service: &Name, piece: &Assignment, now: Instant) {
+    pub fn record_refusal(&mut self, service: &Name, piece: &Assignment, now: Instant) {
         let key = (service.clone(), piece.first);
         let before = self.0.get(&key).filter(|it| it.fence == piece.fence);
         if before.is_some_and(|it| it.until > now) {
             return;
         }
         let wait = before.map_or(FIRST, |it| (2 * it.wait).min(LONGEST));
-        let block = Block {
+        let block = BlockedAssignment {
             fence: piece.fence,
             until: now + wait,
             wait,
@@ -45,12 +45,17 @@
     }
 
     /// Takes an answer of the owner of a piece.
-    pub fn served(&mut self, service: &Name, piece: &Assignment) {
+    pub fn remove(&mut self, service: &Name, piece: &Assignment) {
         self.0.remove(&(service.clone(), piece.first));
     }
 
     /// Returns how long requests for a piece wait, unless it has another owner by then.
-    pub fn wait(&self, service: &Name, piece: &Assignment, now: Instant) -> Option<Duration> {
+    pub fn remaining_wait(
+        &self,
+        service: &Name,
+        piece: &Assignment,
+        now: Instant,
+    ) -> Option<Duration> {
         let block = self.0.get(&(service.clone(), piece.first))?;
         let blocked = block.fence == piece.fence && block.until > now;
         blocked.then(|| block.until - now)
--- a/crates/cowslipcross/src/serve/count.rs
+++ b/crates/cowslipcross/src/serve/counter_guard.rs
@@ -3,9 +3,9 @@
 use std::cell::Cell;
 
 /// One that counts until this is dropped.
-pub struct Counted<'a>(&'a Cell<u32>);
+pub struct CounterGuard<'a>(&'a Cell<u32>);
 
-impl<'a> Counted<'a> {
+impl<'a> CounterGuard<'a> {
     /// Counts one more.
     pub fn new(count: &'a Cell<u32>) -> Self {
         count.set(count.get() + 1);
@@ -13,7 +13,7 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::serve::{
-        count::Counted,
-        line::{Line, Link, NoLink},
-        request::Request,
+        counter_guard::CounterGuard,
+        request::CallerRequest,
+        target_connections::{ConnectError, Connection, TargetConnections},
     },
     bytes::Bytes,
     cowslip_adapter::headers::{self, ResponseMetadata},
@@ -17,7 +17,7 @@
 };
 
 /// Body of every request to a target.
-pub type Body = Full<Bytes>;
+pub type RequestBody = Full<Bytes>;
 
 /// Longest answer that is passed on, in bytes.
 const LONGEST_ANSWER: usize = 32 << 20;
@@ -27,7 +27,7 @@
 
 /// Whole answer of a target.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct TargetResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers that are passed on.
@@ -38,49 +38,54 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub enum End {
+pub enum ExchangeOutcome {
     /// The target answered.
-    Whole(Whole),
+    Completed(TargetResponse),
     /// The target says that it did not run the request.
-    Unrun(ResponseMetadata),
+    NotExecuted(ResponseMetadata),
     /// No byte left: there was no connection.
-    Unsent(NoLink),
+    Unsent(ConnectError),
     /// Bytes may have left, and no whole answer came.
     Broken(&'static str),
     /// Bytes may have left, and the deadline passed.
-    Late,
+    DeadlinePassed,
 }
 
 /// A connection in use; it counts as closed unless it is kept.
 struct Used<'a> {
-    line: &'a Line,
-    link: Option<Link>,
+    line: &'a TargetConnections,
+    link: Option<Connection>,
 }
 
 impl Drop for Used<'_> {
     fn drop(&mut self) {
         if self.link.take().is_some() {
-            self.line.closed();
+            self.line.count_closed();
         }
     }
 }
 
 /// Sends a request to a target and waits for its whole answer.
-pub async fn run(line: Rc<Line>, target: Name, request: Rc<Request>, most: u32) -> End {
-    let _running = Counted::new(&line.running);
+pub async fn send_request(
+    line: Rc<TargetConnections>,
+    target: Name,
+    request: Rc<CallerRequest>,
+    most: u32,
+) -> ExchangeOutcome {
+    let _running = CounterGuard::new(&line.in_flight);
     let last = match request.route.idempotent {
         true => request.deadline,
         false => request.deadline + LAST_WORD,
     };
     let begun = Instant::now();
-    let mut first = line.reuse();
+    let mut first = line.take_idle();
     loop {
         let (link, reused) = match first.take() {
             Some(link) => (link, true),
             None => match timeout_at(request.deadline, line.open(most)).await {
                 Ok(Ok(link)) => (link, false),
-                Ok(Err(cause)) => return End::Unsent(cause),
-                Err(_) => return End::Unsent(NoLink::Failed),
+                Ok(Err(cause)) => return ExchangeOutcome::Unsent(cause),
+                Err(_) => return ExchangeOutcome::Unsent(ConnectError::Failed),
             },
         };
         let used = Used {
@@ -88,24 +93,24 @@
             link: Some(link),
         };
         let Some(message) = message(&request, &target) else {
-            return End::Unsent(NoLink::Failed);
+            return ExchangeOutcome::Unsent(ConnectError::Failed);
         };
         match timeout_at(last, send(used, message, &request)).await {
             // The connection had ended while it was idle: nothing left on it.
-            Ok(None) if reused => first = line.reuse(),
-            Ok(None) => return End::Unsent(NoLink::Failed),
+            Ok(None) if reused => first = line.take_idle(),
+            Ok(None) => return ExchangeOutcome::Unsent(ConnectError::Failed),
             Ok(Some(end)) => {
-                if matches!(end, End::Whole(_)) {
-                    line.answered(begun.elapsed());
+                if matches!(end, ExchangeOutcome::Completed(_)) {
+                    line.record_service_time(begun.elapsed());
                 }
                 return end;
             }
-            Err(_) => return End::Late,
+            Err(_) => return ExchangeOutcome::DeadlinePassed,
         }
     }
 }
 
-fn message(request: &Request, target: &Name) -> Option<http::Request<Body>> {
+fn message(request: &CallerRequest, target: &Name) -> Option<http::Request<RequestBody>> {
     let left = request.deadline.saturating_duration_since(Instant::now());
     let mut message = http::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
@@ -130,7 +135,11 @@
 }
 
 /// Returns `None` if the connection had ended before any byte left.
-async fn send(mut used: Used<'_>, message: http::Request<Body>, request: &Request) -> Option<End> {
+async fn send(
+    mut used: Used<'_>,
+    message: http::Request<RequestBody>,
+    request: &CallerRequest,
+) -> Option<ExchangeOutcome> {
     let sender = &mut used.link.as_mut()?.sender;
     if sender.ready().await.is_err() {
         return None;
@@ -140,13 +149,15 @@
         Err(mut error) => {
             return match error.take_message() {
                 Some(_) => None,
-                None => Some(End::Broken("connection broke before the answer")),
+                None => Some(ExchangeOutcome::Broken(
+                    "connection broke before the answer",
+                )),
             };
         }
     };
     let signs = headers::parse_response_head(answer.status(), answer.headers());
     if !headers::has_request_id(answer.headers(), &request.id) && !signs.not_executed {
-        return Some(End::Broken("answer to another request"));
+        return Some(ExchangeOutcome::Broken("answer to another request"));
     }
     if let Some(load) = signs.load {
         used.line.load.set(Some((load, Instant::now())));
@@ -154,32 +165,32 @@
     let whole = whole(answer).await;
     let Some(whole) = whole else {
         return Some(match signs.not_executed {
-            true => End::Unrun(signs),
-            false => End::Broken("answer ended early"),
+            true => ExchangeOutcome::NotExecuted(signs),
+            false => ExchangeOutcome::Broken("answer ended early"),
         });
     };
     if let Some(link) = used.link.take() {
         match signs.closes_connection {
-            true => used.line.closed(),
-            false => used.line.keep(link, signs.keep_alive),
+            true => used.line.count_closed(),
+            false => used.line.return_idle(link, signs.keep_alive),
         }
     }
     if signs.not_executed {
-        return Some(End::Unrun(signs));
+        return Some(ExchangeOutcome::NotExecuted(signs));
     }
     if whole.status.is_success() && !signs.signed {
-        return Some(End::Broken("answer without a signature"));
+        return Some(ExchangeOutcome::Broken("answer without a signature"));
     }
-    Some(End::Whole(whole))
+    Some(ExchangeOutcome::Completed(whole))
 }
 
 /// Returns the whole answer, or `None` if it ended early or is too long.
-async fn whole(answer: Response<Incoming>) -> Option<Whole> {
+async fn whole(answer: Response<Incoming>) -> Option<TargetResponse> {
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, LONGEST_ANSWER).collect().await.ok()?;
     let mut headers = headers::copy_end_to_end(&head.headers);
     headers.remove(header::CONTENT_LENGTH);
-    Some(Whole {
+    Some(TargetResponse {
         status: head.status,
         headers,
         body: body.to_bytes(),
--- a/crates/cowslipcross/src/serve/deliver.rs
+++ b/crates/cowslipcross/src/serve/forward.rs
@@ -5,12 +5,12 @@
         context::Context,
         events::{self, EventCode, EventFields},
         serve::{
-            answer::{Answer, Refusal},
-            choose::{self, Choice, choose},
-            exchange::{self, End},
-            line::{Line, NoLink},
-            permit::{self, Permit, Permitted},
-            request::Request,
+            exchange::{self, ExchangeOutcome},
+            permits::{self, Permit, PermitResult},
+            request::CallerRequest,
+            response::{Refusal, RequestOutcome},
+            target_connections::{ConnectError, TargetConnections},
+            target_selection::{self, Selection, select_target},
         },
     },
     cowslip_decide::{
@@ -32,7 +32,7 @@
 /// What follows a choice of a target.
 enum Step {
     /// The caller gets this.
-    Answer(Answer),
+    Finish(RequestOutcome),
     /// Choose again after this time.
     Again(Duration),
     /// Choose again when something has changed, or after this time.
@@ -40,24 +40,24 @@
 }
 
 /// Sends a request until it is answered or given up.
-pub async fn deliver(context: Rc<Context>, request: Rc<Request>) -> Answer {
+pub async fn forward_request(context: Rc<Context>, request: Rc<CallerRequest>) -> RequestOutcome {
     context.count_request(&request.service);
     let mut course = AttemptHistory::default();
     loop {
         if Instant::now() >= request.deadline {
             return ended(course.final_error(Reason::Deadline));
         }
-        let step = match choose(&context, &request) {
-            Choice::Refuse(wait) => return given_back(&course, wait),
-            Choice::Wait(look) => Step::Change(look),
-            Choice::Owner(line, target) => {
+        let step = match select_target(&context, &request) {
+            Selection::Refuse(wait) => return given_back(&course, wait),
+            Selection::Wait(look) => Step::Change(look),
+            Selection::Owner(line, target) => {
                 course.clear_owner_wait();
                 to_owner(&context, &request, &mut course, line, &target).await
             }
-            Choice::Any => to_any(&context, &request, &mut course).await,
+            Selection::AnyTarget => to_any(&context, &request, &mut course).await,
         };
         match step {
-            Step::Answer(answer) => return answer,
+            Step::Finish(answer) => return answer,
             Step::Again(Duration::ZERO) => {}
             Step::Again(pause) => sleep(pause).await,
             Step::Change(look) => {
@@ -72,47 +72,56 @@
 /// Sends a request to the owner of its key, with a permit if there is who gives one.
 async fn to_owner(
     context: &Rc<Context>,
-    request: &Rc<Request>,
+    request: &Rc<CallerRequest>,
     course: &mut AttemptHistory,
-    line: Rc<Line>,
+    line: Rc<TargetConnections>,
     target: &Name,
 ) -> Step {
-    let permit = match permit::ask(context, request, Some(target), &[]).await {
-        Permitted::Yes(permit, _) => Some(permit),
-        Permitted::No(wait) => return Step::Answer(given_back(course, wait)),
-        Permitted::Changed => return Step::Again(Duration::ZERO),
-        Permitted::Alone => None,
+    let permit = match permits::request_permit(context, request, Some(target), &[]).await {
+        PermitResult::Granted(permit, _) => Some(permit),
+        PermitResult::Refused(wait) => return Step::Finish(given_back(course, wait)),
+        PermitResult::RoutingChanged => return Step::Again(Duration::ZERO),
+        PermitResult::Unanswered => None,
     };
-    let same = |choice| matches!(choice, Choice::Owner(_, owner) if owner == *target);
-    if permit.is_some() && !same(choose(context, request)) {
+    let same = |choice| matches!(choice, Selection::Owner(_, owner) if owner == *target);
+    if permit.is_some() && !same(select_target(context, request)) {
         return Step::Again(Duration::ZERO);
     }
     if permit.is_none()
-        && let Err(wait) = choose::cold_share(context, request, target)
+        && let Err(wait) = target_selection::take_cold_token(context, request, target)
     {
-        return Step::Answer(given_back(course, wait));
+        return Step::Finish(given_back(course, wait));
     }
     let end = attempt(context, request, line, target, permit).await;
     after(context, request, course, target, end)
 }
 
 /// Sends a request to a target of an undivided service.
-async fn to_any(context: &Rc<Context>, request: &Rc<Request>, course: &mut AttemptHistory) -> Step {
-    let (line, target, permit) = match permit::ask(context, request, None, &course.excluded).await {
-        Permitted::Yes(permit, target) => match choose::line_to(context, &target) {
-            Some(line) => (line, target, Some(permit)),
-            None => {
-                course.exclude_target(target);
-                return Step::Again(Duration::ZERO);
+async fn to_any(
+    context: &Rc<Context>,
+    request: &Rc<CallerRequest>,
+    course: &mut AttemptHistory,
+) -> Step {
+    let (line, target, permit) =
+        match permits::request_permit(context, request, None, &course.excluded).await {
+            PermitResult::Granted(permit, target) => {
+                match target_selection::open_connections(context, &target) {
+                    Some(line) => (line, target, Some(permit)),
+                    None => {
+                        course.exclude_target(target);
+                        return Step::Again(Duration::ZERO);
+                    }
+                }
             }
-        },
-        Permitted::No(wait) => return Step::Answer(given_back(course, wait)),
-        Permitted::Changed => return Step::Again(Duration::ZERO),
-        Permitted::Alone => match choose::alone(context, request, &course.excluded) {
-            Ok((line, target)) => (line, target, None),
-            Err(wait) => return Step::Answer(given_back(course, wait)),
-        },
-    };
+            PermitResult::Refused(wait) => return Step::Finish(given_back(course, wait)),
+            PermitResult::RoutingChanged => return Step::Again(Duration::ZERO),
+            PermitResult::Unanswered => {
+                match target_selection::select_without_permit(context, request, &course.excluded) {
+                    Ok((line, target)) => (line, target, None),
+                    Err(wait) => return Step::Finish(given_back(course, wait)),
+                }
+            }
+        };
     let end = attempt(context, request, line, &target, permit).await;
     after(context, request, course, &target, end)
 }
@@ -120,10 +129,10 @@
 /// Waits for a change; returns the refusal of a request that has waited long enough.
 async fn wait(
     context: &Context,
-    request: &Request,
+    request: &CallerRequest,
     course: &mut AttemptHistory,
     look: Duration,
-) -> Option<Answer> {
+) -> Option<RequestOutcome> {
     let now = Instant::now();
     let Some(end) = course.poll_owner_wait(request.deadline, now) else {
         return Some(ended(course.final_error(Reason::NoOwner)));
@@ -139,18 +148,18 @@
 /// One that may not be repeated goes on at its target when its caller leaves.
 async fn attempt(
     context: &Rc<Context>,
-    request: &Rc<Request>,
-    line: Rc<Line>,
+    request: &Rc<CallerRequest>,
+    line: Rc<TargetConnections>,
     target: &Name,
     permit: Option<Permit>,
-) -> End {
+) -> ExchangeOutcome {
     let most = connections(context, request);
-    let exchange = exchange::run(line.clone(), target.clone(), request.clone(), most);
+    let exchange = exchange::send_request(line.clone(), target.clone(), request.clone(), most);
     let run = async move {
         let end = exchange.await;
         if let Some(permit) = permit {
             permit.outcome.set(outcome(&end));
-            permit.slowness.set(line.slowness());
+            permit.slowdown.set(line.slowdown());
         }
         end
     };
@@ -158,23 +167,23 @@
         return run.await;
     }
     let ended = spawn_local(run).await;
-    ended.unwrap_or(End::Broken("attempt ended"))
+    ended.unwrap_or(ExchangeOutcome::Broken("attempt ended"))
 }
 
 /// Returns what the holder of the pool has to know of an end.
-fn outcome(end: &End) -> PermitOutcome {
+fn outcome(end: &ExchangeOutcome) -> PermitOutcome {
     match end {
-        End::Whole(_) => PermitOutcome::Served,
-        End::Unrun(signs) if signs.misdirected => PermitOutcome::Unused,
-        End::Unrun(_) => PermitOutcome::Shed,
-        End::Unsent(NoLink::Full) => PermitOutcome::Unused,
-        End::Unsent(NoLink::Failed) => PermitOutcome::NotConnected,
-        End::Broken(_) | End::Late => PermitOutcome::Broken,
+        ExchangeOutcome::Completed(_) => PermitOutcome::Served,
+        ExchangeOutcome::NotExecuted(signs) if signs.misdirected => PermitOutcome::Unused,
+        ExchangeOutcome::NotExecuted(_) => PermitOutcome::Shed,
+        ExchangeOutcome::Unsent(ConnectError::LimitReached) => PermitOutcome::Unused,
+        ExchangeOutcome::Unsent(ConnectError::Failed) => PermitOutcome::NotConnected,
+        ExchangeOutcome::Broken(_) | ExchangeOutcome::DeadlinePassed => PermitOutcome::Broken,
     }
 }
 
 /// Returns how many connections this instance may have to one target of the service.
-fn connections(context: &Context, request: &Request) -> u32 {
+fn connections(context: &Context, request: &CallerRequest) -> u32 {
     let config = context.config.borrow();
     let service = config
         .as_ref()
@@ -186,10 +195,10 @@
 /// Takes the end of an attempt, and returns what follows.
 fn after(
     context: &Context,
-    request: &Request,
+    request: &CallerRequest,
     course: &mut AttemptHistory,
     target: &Name,
-    end: End,
+    end: ExchangeOutcome,
 ) -> Step {
     context.metrics.count_attempt(&request.service, &end);
     let seen = seen(request, &end);
@@ -208,10 +217,12 @@
         context.reserve_retry(&request.service)
     });
     match (next, end) {
-        (NextAction::ReturnAnswer, End::Whole(whole)) => Step::Answer(Answer::Whole(whole)),
+        (NextAction::ReturnAnswer, ExchangeOutcome::Completed(whole)) => {
+            Step::Finish(RequestOutcome::Completed(whole))
+        }
         // Only whole answers are passed on.
-        (NextAction::ReturnAnswer, _) => Step::Answer(Answer::Failed(Reason::Broken)),
-        (NextAction::ReturnError(ending), _) => Step::Answer(ended(ending)),
+        (NextAction::ReturnAnswer, _) => Step::Finish(RequestOutcome::Failed(Reason::Broken)),
+        (NextAction::ReturnError(ending), _) => Step::Finish(ended(ending)),
         (NextAction::RetryOnChange(look), _) => Step::Change(look),
         (NextAction::RetryAfter(pause), _) => {
             if matches!(seen, AttemptOutcome::ServerError | AttemptOutcome::Broken) {
@@ -223,24 +234,34 @@
 }
 
 /// Returns what an end says to the decision about the next attempt.
-fn seen(request: &Request, end: &End) -> AttemptOutcome {
+fn seen(request: &CallerRequest, end: &ExchangeOutcome) -> AttemptOutcome {
     match end {
-        End::Whole(whole) if whole.status.is_server_error() => AttemptOutcome::ServerError,
-        End::Whole(_) => AttemptOutcome::Answered,
-        End::Unrun(signs) if signs.misdirected && request.key.is_some() => AttemptOutcome::NotOwner,
-        End::Unrun(_) => AttemptOutcome::Refused,
-        End::Unsent(_) => AttemptOutcome::Unsent,
-        End::Broken(_) => AttemptOutcome::Broken,
-        End::Late => AttemptOutcome::DeadlinePassed,
+        ExchangeOutcome::Completed(whole) if whole.status.is_server_error() => {
+            AttemptOutcome::ServerError
+        }
+        ExchangeOutcome::Completed(_) => AttemptOutcome::Answered,
+        ExchangeOutcome::NotExecuted(signs) if signs.misdirected && request.key.is_some() => {
+            AttemptOutcome::NotOwner
+        }
+        ExchangeOutcome::NotExecuted(_) => AttemptOutcome::Refused,
+        ExchangeOutcome::Unsent(_) => AttemptOutcome::Unsent,
+        ExchangeOutcome::Broken(_) => AttemptOutcome::Broken,
+        ExchangeOutcome::DeadlinePassed => AttemptOutcome::DeadlinePassed,
     }
 }
 
-fn note_end(context: &Context, request: &Request, target: &Name, end: &End, seen: AttemptOutcome) {
+fn note_end(
+    context: &Context,
+    request: &CallerRequest,
+    target: &Name,
+    end: &ExchangeOutcome,
+    seen: AttemptOutcome,
+) {
     let (code, cause) = match (seen, end) {
         (AttemptOutcome::NotOwner, _) => (events::WRONG_OWNER, "owner moved"),
         (AttemptOutcome::Refused, _) => (events::TARGET_SHED, "refused"),
-        (_, End::Unsent(cause)) => (events::NO_CONNECTION, cause.text()),
-        (_, End::Broken(cause)) => (events::MAY_HAVE_RUN, *cause),
+        (_, ExchangeOutcome::Unsent(cause)) => (events::NO_CONNECTION, cause.text()),
+        (_, ExchangeOutcome::Broken(cause)) => (events::MAY_HAVE_RUN, *cause),
         (AttemptOutcome::DeadlinePassed, _) => (events::MAY_HAVE_RUN, "deadline passed"),
         _ => return,
     };
@@ -248,11 +269,11 @@
 }
 
 /// Lets requests for the same keys wait for another owner.
-fn block(context: &Context, request: &Request) {
+fn block(context: &Context, request: &CallerRequest) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocked_keys.borrow_mut();
-        blocks.refused(
+        blocks.record_refusal(
             &request.service,
             owners.table.assignment(key),
             Instant::now(),
@@ -260,35 +281,35 @@
     }
 }
 
-fn unblock(context: &Context, request: &Request) {
+fn unblock(context: &Context, request: &CallerRequest) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
         let mut blocks = context.blocked_keys.borrow_mut();
-        blocks.served(&request.service, owners.table.assignment(key));
+        blocks.remove(&request.service, owners.table.assignment(key));
     }
 }
 
 /// Returns the answer to a request that nobody can serve in time.
-fn given_back(course: &AttemptHistory, wait: Duration) -> Answer {
+fn given_back(course: &AttemptHistory, wait: Duration) -> RequestOutcome {
     match course.final_error(Reason::Overload) {
-        FinalError::Refused(reason) => Answer::Refused(Refusal { reason, wait }),
+        FinalError::Refused(reason) => RequestOutcome::Refused(Refusal { reason, wait }),
         other => ended(other),
     }
 }
 
 /// Returns the answer to a request that ended without one of a target.
-fn ended(ending: FinalError) -> Answer {
+fn ended(ending: FinalError) -> RequestOutcome {
     match ending {
-        FinalError::Refused(reason) => Answer::Refused(Refusal {
+        FinalError::Refused(reason) => RequestOutcome::Refused(Refusal {
             reason,
             wait: COME_BACK,
         }),
-        FinalError::Failed(reason) => Answer::Failed(reason),
-        FinalError::TimedOut => Answer::TimedOut,
+        FinalError::Failed(reason) => RequestOutcome::Failed(reason),
+        FinalError::TimedOut => RequestOutcome::TimedOut,
     }
 }
 
-fn note(context: &Context, code: EventCode, request: &Request, target: &Name, cause: &str) {
+fn note(context: &Context, code: EventCode, request: &CallerRequest, target: &Name, cause: &str) {
     let detail = format!(
         "{cause}, service {}, {}, {} ms left",
         request.service,
@@ -308,11 +329,11 @@
     context.events.record(code, about);
 }
 
-impl NoLink {
+impl ConnectError {
     /// Returns the cause in words.
     fn text(self) -> &'static str {
         match self {
-            Self::Full => "as many connections as the target may have",
+            Self::LimitReached => "as many connections as the target may have",
             Self::Failed => "no connection",
         }
     }
--- a/crates/cowslipcross/src/serve/permit.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -8,7 +8,7 @@
     crate::{
         context::Context,
         peers::{datagram, message::Message},
-        serve::request::Request,
+        serve::request::CallerRequest,
     },
     cowslip_decide::{
         names::Name,
@@ -67,19 +67,19 @@
     /// How the request ended.
     pub outcome: Cell<PermitOutcome>,
     /// Momentary slowness that the target told.
-    pub slowness: Cell<Option<f64>>,
+    pub slowdown: Cell<Option<f64>>,
 }
 
 /// What the question for a permit came to.
-pub enum Permitted {
+pub enum PermitResult {
     /// Send to this target.
-    Yes(Permit, Name),
+    Granted(Permit, Name),
     /// The request cannot be served in time.
-    No(Duration),
+    Refused(Duration),
     /// Something changed while the request waited: choose again.
-    Changed,
+    RoutingChanged,
     /// No holder answers: send without a permit.
-    Alone,
+    Unanswered,
 }
 
 impl Drop for Permit {
@@ -87,7 +87,7 @@
         let message = Message::Done {
             number: self.number,
             outcome: outcome_code(self.outcome.get()),
-            slowness: self.slowness.get(),
+            slowness: self.slowdown.get(),
         };
         self.context
             .permits
@@ -99,15 +99,15 @@
 }
 
 /// Asks for a permit to send to a target, or to any of an undivided service.
-pub async fn ask(
+pub async fn request_permit(
     context: &Rc<Context>,
-    request: &Request,
+    request: &CallerRequest,
     target: Option<&Name>,
     tried: &[Name],
-) -> Permitted {
+) -> PermitResult {
     let pool = (request.service.clone(), target.cloned());
     let Some(holder) = holder(context, &pool) else {
-        return Permitted::Alone;
+        return PermitResult::Unanswered;
     };
     let (permit, waiter) = begin(context, holder);
     let mut unanswered = 0;
@@ -125,19 +125,21 @@
                 let check = (Instant::now() + CHECK).min(request.deadline);
                 tokio::select! {
                     _ = timeout_at(check, waiter.heard()) => {}
-                    () = changed, if target.is_some() => return Permitted::Changed,
+                    () = changed, if target.is_some() => return PermitResult::RoutingChanged,
                 }
                 reply = waiter.reply.borrow_mut().take();
             }
             _ => {}
         }
         match reply {
-            Some(PermitReply::Granted(target)) => return Permitted::Yes(permit, target),
-            Some(PermitReply::Refused(wait)) => return Permitted::No(wait),
-            _ if Instant::now() >= request.deadline => return Permitted::No(Duration::ZERO),
+            Some(PermitReply::Granted(target)) => return PermitResult::Granted(permit, target),
+            Some(PermitReply::Refused(wait)) => return PermitResult::Refused(wait),
+            _ if Instant::now() >= request.deadline => {
+                return PermitResult::Refused(Duration::ZERO);
+            }
             _ if unanswered >= MOST_ASKS => {
                 pass_over(context, holder);
-                return Permitted::Alone;
+                return PermitResult::Unanswered;
             }
             _ => {}
         }
@@ -156,14 +158,14 @@
         holder,
         number,
         outcome: Cell::new(PermitOutcome::Unused),
-        slowness: Cell::new(None),
+        slowdown: Cell::new(None),
     };
     (permit, waiter)
 }
 
 fn question(
     context: &Context,
-    request: &Request,
+    request: &CallerRequest,
     pool: &PoolKey,
     number: u64,
     tried: &[Name],
@@ -209,7 +211,7 @@
 }
 
 /// Takes a datagram about permits.
-pub fn take(context: &Context, message: Message, from: SocketAddr) {
+pub fn handle_message(context: &Context, message: Message, from: SocketAddr) {
     match message {
         Message::Ask {
             number,
@@ -301,7 +303,7 @@
 
 /// Returns the average times of the targets of divided services that this instance holds, in
 /// milliseconds.
-pub fn paces(context: &Context) -> BTreeMap<Name, u32> {
+pub fn service_times(context: &Context) -> BTreeMap<Name, u32> {
     let pools = context.permits.pools.borrow();
     let paces = pools.iter().filter_map(|((_, target), pool)| {
         let target = target.as_ref()?;
@@ -312,7 +314,7 @@
 }
 
 /// Looks after those that wait, for ever.
-pub async fn serve(context: Rc<Context>) {
+pub async fn process_queues(context: Rc<Context>) {
     loop {
         let waiting = context
             .permits
@@ -361,7 +363,7 @@
 /// Sends a datagram, or takes it at once if it is for this instance.
 fn tell(context: &Context, message: Message, to: SocketAddr) {
     match to == context.settings.listen.heartbeats {
-        true => take(context, message, to),
+        true => handle_message(context, message, to),
         false => datagram::send_now(context, &message, to),
     }
 }
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -14,7 +14,7 @@
 
 /// A request as it is passed on.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct CallerRequest {
     /// Id that the caller gave it.
     pub id: HeaderValue,
     /// Route.
@@ -45,17 +45,17 @@
     /// No route matches.
     NoRoute,
     /// The request has no id.
-    NoId,
+    MissingId,
     /// The key is not a number from 0 to 65535, or is missing.
-    Key(String),
+    InvalidKey(String),
     /// The deadline is not a number of milliseconds.
-    Deadline,
+    InvalidDeadline,
     /// The body is longer than the limit.
-    Long,
+    BodyTooLong,
     /// The body ended early.
-    Cut,
+    BodyTruncated,
     /// The body was not whole by the deadline.
-    Slow,
+    BodyTimeout,
 }
 
 impl BadRequest {
@@ -64,23 +64,25 @@
         match self {
             Self::NoConfig => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoId | Self::Key(_) | Self::Deadline | Self::Cut => StatusCode::BAD_REQUEST,
-            Self::Long => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
+            Self::MissingId | Self::InvalidKey(_) | Self::InvalidDeadline | Self::BodyTruncated => {
+                StatusCode::BAD_REQUEST
+            }
+            Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
         }
     }
 
     /// Returns a short text for the answer and the log.
-    pub fn text(&self) -> &'static str {
+    pub fn message(&self) -> &'static str {
         match self {
             Self::NoConfig => "no configuration yet",
             Self::NoRoute => "no route",
-            Self::NoId => "no request id",
-            Self::Key(_) => "key missing or no number from 0 to 65535",
-            Self::Deadline => "deadline is no number of milliseconds",
-            Self::Long => "body too long",
-            Self::Cut => "body ended early",
-            Self::Slow => "body not whole in time",
+            Self::MissingId => "no request id",
+            Self::InvalidKey(_) => "key missing or no number from 0 to 65535",
+            Self::InvalidDeadline => "deadline is no number of milliseconds",
+            Self::BodyTooLong => "body too long",
+            Self::BodyTruncated => "body ended early",
+            Self::BodyTimeout => "body not whole in time",
         }
     }
 }
@@ -89,27 +91,27 @@
 ///
 /// # Errors
 /// Says what is not valid.
-pub async fn read(
+pub async fn read_request(
     context: &Context,
     parts: Parts,
     body: Incoming,
     arrived: Instant,
-) -> Result<Request, BadRequest> {
+) -> Result<CallerRequest, BadRequest> {
     let config = context.config.borrow().clone();
     let config = config.ok_or(BadRequest::NoConfig)?;
     let route = find(context, &parts).ok_or(BadRequest::NoRoute)?;
     let id = parts.headers.get(&headers::REQUEST_ID).cloned();
-    let id = id.ok_or(BadRequest::NoId)?;
+    let id = id.ok_or(BadRequest::MissingId)?;
     let deadline = arrived + patience(&parts.headers, &route)?;
     let service = service(context, &route).ok_or(BadRequest::NoRoute)?;
     let divided = config.services.get(&service).is_some_and(|it| it.sharded);
-    let key = headers::parse_shard_key(&parts.headers).map_err(BadRequest::Key)?;
+    let key = headers::parse_shard_key(&parts.headers).map_err(BadRequest::InvalidKey)?;
     if divided && key.is_none() {
-        return Err(BadRequest::Key(String::new()));
+        return Err(BadRequest::InvalidKey(String::new()));
     }
     let body = whole(body, config.limits.body_bytes, deadline).await?;
     let path = parts.uri.path_and_query();
-    Ok(Request {
+    Ok(CallerRequest {
         id,
         service,
         key: key.filter(|_| divided),
@@ -126,7 +128,7 @@
 fn find(context: &Context, parts: &Parts) -> Option<Rc<Route>> {
     let named = headers::get_str(&parts.headers, &header::HOST);
     let host = named.or_else(|| parts.uri.host())?;
-    context.routes.borrow().find(host, parts.uri.path())
+    context.routes.borrow().find_route(host, parts.uri.path())
 }
 
 /// Returns the time that the caller waits, at most that of the route.
@@ -134,7 +136,10 @@
     let Some(text) = headers::get_str(all, &headers::DEADLINE) else {
         return Ok(route.timeout);
     };
-    let millis: u64 = text.trim().parse().map_err(|_| BadRequest::Deadline)?;
+    let millis: u64 = text
+        .trim()
+        .parse()
+        .map_err(|_| BadRequest::InvalidDeadline)?;
     Ok(Duration::from_millis(millis).min(route.timeout))
 }
 
@@ -154,9 +159,9 @@
 async fn whole(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, BadRequest> {
     match timeout_at(deadline, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::Long),
-        Ok(Err(_)) => Err(BadRequest::Cut),
-        Err(_) => Err(BadRequest::Slow),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::BodyTooLong),
+        Ok(Err(_)) => Err(BadRequest::BodyTruncated),
+        Err(_) => Err(BadRequest::BodyTimeout),
     }
 }
 
--- a/crates/cowslipcross/src/serve/answer.rs
+++ b/crates/cowslipcross/src/serve/response.rs
@@ -1,7 +1,7 @@
 //! Answers to callers.
 
 use {
-    crate::serve::{exchange::Whole, request::BadRequest},
+    crate::serve::{exchange::TargetResponse, request::BadRequest},
     bytes::Bytes,
     cowslip_adapter::headers,
     cowslip_decide::verdict::{Reason, Verdict},
@@ -11,7 +11,7 @@
 };
 
 /// Body of every answer.
-pub type Body = Full<Bytes>;
+pub type ResponseBody = Full<Bytes>;
 
 /// Part of the time left for which callers follow the advice when to come back.
 const FOLLOWED: f64 = 0.3;
@@ -27,9 +27,9 @@
 
 /// What a caller gets.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum RequestOutcome {
     /// The answer of a target, unchanged.
-    Whole(Whole),
+    Completed(TargetResponse),
     /// The request has not run and will not.
     Refused(Refusal),
     /// It may have run, and there is no whole answer.
@@ -38,11 +38,11 @@
     TimedOut,
 }
 
-impl Answer {
+impl RequestOutcome {
     /// Returns the verdict on the request.
     pub fn verdict(&self) -> Verdict {
         match self {
-            Self::Whole(_) => Verdict::Ran,
+            Self::Completed(_) => Verdict::Ran,
             Self::Refused(_) => Verdict::NotRun,
             Self::Failed(_) | Self::TimedOut => Verdict::MayHaveRun,
         }
@@ -51,7 +51,7 @@
     /// Returns why there is no answer of a target.
     pub fn reason(&self) -> Option<Reason> {
         match self {
-            Self::Whole(_) => None,
+            Self::Completed(_) => None,
             Self::Refused(refusal) => Some(refusal.reason),
             Self::Failed(reason) => Some(*reason),
             Self::TimedOut => Some(Reason::Deadline),
@@ -59,9 +59,9 @@
     }
 
     /// Returns the response; `left` is the time that the caller still has.
-    pub fn response(self, id: &HeaderValue, left: Duration) -> Response<Body> {
+    pub fn into_response(self, id: &HeaderValue, left: Duration) -> Response<ResponseBody> {
         let mut response = match self {
-            Self::Whole(whole) => return passed(whole),
+            Self::Completed(whole) => return passed(whole),
             Self::Refused(refusal) => refused(&refusal, left),
             Self::Failed(reason) => plain(StatusCode::BAD_GATEWAY, reason.as_str()),
             Self::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT, Reason::Deadline.as_str()),
@@ -74,8 +74,8 @@
 }
 
 /// Returns the response to a request that is not valid.
-pub fn bad(bad: &BadRequest) -> Response<Body> {
-    let mut response = plain(bad.status(), bad.text());
+pub fn bad_request_response(bad: &BadRequest) -> Response<ResponseBody> {
+    let mut response = plain(bad.status(), bad.message());
     if *bad == BadRequest::NoConfig {
         let wait = headers::format_retry_after(Duration::from_millis(300));
         response.headers_mut().insert(header::RETRY_AFTER, wait);
@@ -83,14 +83,14 @@
     response
 }
 
-fn passed(whole: Whole) -> Response<Body> {
+fn passed(whole: TargetResponse) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(whole.body));
     *response.status_mut() = whole.status;
     *response.headers_mut() = whole.headers;
     response
 }
 
-fn refused(refusal: &Refusal, left: Duration) -> Response<Body> {
+fn refused(refusal: &Refusal, left: Duration) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.as_str());
     let spread = 0.8 + 0.4 * rand::random::<f64>();
     let wait = refusal.wait.mul_f64(spread).min(left.mul_f64(FOLLOWED));
@@ -99,7 +99,7 @@
     response
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("text/plain");
--- a/crates/cowslipcross/src/serve/route.rs
+++ b/crates/cowslipcross/src/serve/routes.rs
@@ -28,7 +28,7 @@
 
 impl Routes {
     /// Returns the route of a request to `path` at `host`, which may name a port.
-    pub fn find(&self, host: &str, path: &str) -> Option<Rc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(name.to_ascii_lowercase().as_str())?;
         let found = routes
--- a/crates/cowslipcross/src/serve/entry.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -5,10 +5,10 @@
         context::Context,
         events::{self, EventFields},
         serve::{
-            answer::{self, Answer, Body},
-            count::Counted,
-            deliver::deliver,
-            request::{self, BadRequest, Request},
+            counter_guard::CounterGuard,
+            forward::forward_request,
+            request::{self, BadRequest, CallerRequest},
+            response::{self, RequestOutcome, ResponseBody},
         },
     },
     cowslip_adapter::headers,
@@ -40,7 +40,7 @@
 
 /// Open connections of callers.
 #[derive(Clone, Default)]
-pub struct Conns(Rc<Shared>);
+pub struct CallerConnections(Rc<Shared>);
 
 struct Shared {
     count: Cell<usize>,
@@ -56,20 +56,24 @@
     }
 }
 
-impl Conns {
+impl CallerConnections {
     /// Returns how many are open.
-    pub fn count(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.0.count.get()
     }
 
     /// Closes each as soon as no request is on it.
-    pub fn close(&self) {
+    pub fn close_idle(&self) {
         self.0.close.borrow().send_replace(true);
     }
 }
 
 /// Accepts connections for ever.
-pub async fn accept(context: Rc<Context>, listener: TcpListener, conns: Conns) {
+pub async fn accept_connections(
+    context: Rc<Context>,
+    listener: TcpListener,
+    conns: CallerConnections,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(serve(context.clone(), stream, conns.clone()))),
@@ -82,12 +86,12 @@
 }
 
 /// Serves one connection until it ends, or until it is idle during a stop.
-async fn serve(context: Rc<Context>, stream: TcpStream, conns: Conns) {
+async fn serve(context: Rc<Context>, stream: TcpStream, conns: CallerConnections) {
     if let Err(error) = stream.set_nodelay(true) {
         context.record_event(events::CONNECTION_REFUSED, error.to_string());
         return;
     }
-    conns.0.count.set(conns.count() + 1);
+    conns.0.count.set(conns.open_count() + 1);
     let mut close = conns.0.close.borrow().subscribe();
     let config = context.config.borrow().clone();
     let limits = config.map(|it| it.limits.clone()).unwrap_or_default();
@@ -115,16 +119,16 @@
         }
     })
     .await;
-    conns.0.count.set(conns.count().saturating_sub(1));
+    conns.0.count.set(conns.open_count().saturating_sub(1));
 }
 
 /// Answers one request.
-async fn handle(context: Rc<Context>, request: http::Request<Incoming>) -> Response<Body> {
+async fn handle(context: Rc<Context>, request: http::Request<Incoming>) -> Response<ResponseBody> {
     let arrived = Instant::now();
-    let _active = Counted::new(&context.active_requests);
+    let _active = CounterGuard::new(&context.active_requests);
     let (parts, body) = request.into_parts();
     let id = parts.headers.get(&headers::REQUEST_ID).cloned();
-    let mut response = match request::read(&context, parts, body, arrived).await {
+    let mut response = match request::read_request(&context, parts, body, arrived).await {
         Ok(request) => answered(&context, Rc::new(request)).await,
         Err(bad) => refused(&context, &bad, id),
     };
@@ -135,23 +139,23 @@
     response
 }
 
-async fn answered(context: &Rc<Context>, request: Rc<Request>) -> Response<Body> {
+async fn answered(context: &Rc<Context>, request: Rc<CallerRequest>) -> Response<ResponseBody> {
     count_key(context, &request);
-    let answer = deliver(context.clone(), request.clone()).await;
+    let answer = forward_request(context.clone(), request.clone()).await;
     let left = request.deadline.saturating_duration_since(Instant::now());
     note(context, &request, &answer);
-    answer.response(&request.id, left)
+    answer.into_response(&request.id, left)
 }
 
-fn refused(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<Body> {
+fn refused(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<ResponseBody> {
     context.metrics.count_bad_request(bad);
     let about = EventFields {
         request: id.as_ref().and_then(|id| id.to_str().ok()).map(Name::from),
-        detail: Some(format!("{}: {}", bad.status(), bad.text())),
+        detail: Some(format!("{}: {}", bad.status(), bad.message())),
         ..EventFields::default()
     };
     context.events.record(events::BAD_REQUEST, about);
-    let mut response = answer::bad(bad);
+    let mut response = response::bad_request_response(bad);
     if let Some(id) = id {
         response.headers_mut().insert(headers::REQUEST_ID, id);
     }
@@ -159,7 +163,7 @@
 }
 
 /// Counts the key for the leader, which spreads keys by their load.
-fn count_key(context: &Context, request: &Request) {
+fn count_key(context: &Context, request: &CallerRequest) {
     if let Some(key) = request.key {
         let mut sample = context.key_counts.borrow_mut();
         let keys = sample.entry(request.service.clone()).or_default();
@@ -167,7 +171,7 @@
     }
 }
 
-fn note(context: &Context, request: &Request, answer: &Answer) {
+fn note(context: &Context, request: &CallerRequest, answer: &RequestOutcome) {
     let time = request.arrived.elapsed();
     context.metrics.count_response(&request.route, answer, time);
     let Some(reason) = answer.reason() else {
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        serve::{line::Line, request::Request},
+        serve::{request::CallerRequest, target_connections::TargetConnections},
         views::seen::{Seen, Targets},
     },
     cowslip_adapter::config::Service,
@@ -31,11 +31,11 @@
 const COLD_SHARE: f64 = 0.9;
 
 /// What follows for a request.
-pub enum Choice {
+pub enum Selection {
     /// Send it to the owner of its key.
-    Owner(Rc<Line>, Name),
+    Owner(Rc<TargetConnections>, Name),
     /// Send it to any target of its service.
-    Any,
+    AnyTarget,
     /// Wait for a change, but not longer than this.
     Wait(Duration),
     /// No target can take it before this time has passed.
@@ -43,62 +43,62 @@
 }
 
 /// Returns where the next attempt may go.
-pub fn choose(context: &Context, request: &Request) -> Choice {
+pub fn select_target(context: &Context, request: &CallerRequest) -> Selection {
     let now = Instant::now();
     let config = context.config.borrow().clone();
     let service = config
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let Some(service) = service else {
-        return Choice::Refuse(LOOK);
+        return Selection::Refuse(LOOK);
     };
     let targets = context.targets.borrow().clone();
     match request.key {
         Some(key) => owner(context, request, (&targets, key), now),
-        None if service.sharded => Choice::Refuse(LOOK),
-        None => Choice::Any,
+        None if service.sharded => Selection::Refuse(LOOK),
+        None => Selection::AnyTarget,
     }
 }
 
 /// Chooses the owner of a key.
 fn owner(
     context: &Context,
-    request: &Request,
+    request: &CallerRequest,
     (targets, key): (&Targets, u16),
     now: Instant,
-) -> Choice {
+) -> Selection {
     let owners = context.owners.borrow();
     let Some(owners) = owners.get(&request.service) else {
-        return Choice::Wait(LOOK);
+        return Selection::Wait(LOOK);
     };
     let piece = owners.table.assignment(key);
     if let Some(wait) = context
         .blocked_keys
         .borrow()
-        .wait(&request.service, piece, now)
+        .remaining_wait(&request.service, piece, now)
     {
-        return Choice::Wait(wait);
+        return Selection::Wait(wait);
     }
     let Some(life) = piece.owner.as_ref() else {
-        return Choice::Wait(LOOK);
+        return Selection::Wait(LOOK);
     };
     let Some(seen) = targets
         .get(&life.id)
         .filter(|it| it.target.incarnation == life.incarnation)
     else {
-        return Choice::Wait(LOOK);
+        return Selection::Wait(LOOK);
     };
     let left = |since: Instant| now - since > OWNER_LEAVING;
     if seen.leaving.is_some_and(left) || is_withdrawn(context, seen, now, OWNER_WITHDRAWN) {
-        return Choice::Wait(LOOK);
+        return Selection::Wait(LOOK);
     }
-    Choice::Owner(line(context, seen, now), seen.target.id.clone())
+    Selection::Owner(line(context, seen, now), seen.target.id.clone())
 }
 
 /// Returns the connections to a target of an undivided service, if this instance may send to it.
 ///
 /// The holder that chose it may know less than this instance of who leaves.
-pub fn line_to(context: &Context, target: &Name) -> Option<Rc<Line>> {
+pub fn open_connections(context: &Context, target: &Name) -> Option<Rc<TargetConnections>> {
     let now = Instant::now();
     let targets = context.targets.borrow();
     let seen = targets
@@ -116,7 +116,11 @@
 ///
 /// # Errors
 /// Returns when to come back.
-pub fn cold_share(context: &Context, request: &Request, target: &Name) -> Result<(), Duration> {
+pub fn take_cold_token(
+    context: &Context,
+    request: &CallerRequest,
+    target: &Name,
+) -> Result<(), Duration> {
     let now = Instant::now();
     let config = context.config.borrow();
     let service = config
@@ -125,7 +129,9 @@
     let targets = context.targets.borrow();
     let cold = targets.get(target).filter(|seen| seen.is_cold(now));
     match (service, cold) {
-        (Some(service), Some(seen)) => cold_token(context, service, &line(context, seen, now), now),
+        (Some(service), Some(seen)) => {
+            try_take_cold_token(context, service, &line(context, seen, now), now)
+        }
         _ => Ok(()),
     }
 }
@@ -134,11 +140,11 @@
 ///
 /// # Errors
 /// Returns when to come back.
-pub fn alone(
+pub fn select_without_permit(
     context: &Context,
-    request: &Request,
+    request: &CallerRequest,
     tried: &[Name],
-) -> Result<(Rc<Line>, Name), Duration> {
+) -> Result<(Rc<TargetConnections>, Name), Duration> {
     let now = Instant::now();
     let targets = context.targets.borrow().clone();
     let open: Vec<&Seen> = targets
@@ -160,7 +166,7 @@
     }
     let mut wait = LOOK;
     for seen in open {
-        match cold_share(context, request, &seen.target.id) {
+        match take_cold_token(context, request, &seen.target.id) {
             Ok(()) => return Ok((line(context, seen, now), seen.target.id.clone())),
             Err(time) => wait = time,
         }
@@ -169,7 +175,7 @@
 }
 
 /// Returns the time that a request would likely take at a target, in seconds.
-fn time(line: &Line, near: bool, now: Instant) -> f64 {
+fn time(line: &TargetConnections, near: bool, now: Instant) -> f64 {
     let told = line.load.get().map(|(load, at)| {
         let age = (now - at).as_secs_f64() / LOAD_AGE.as_secs_f64();
         let requests = f64::from(load.running + load.waiting) * (-age).exp();
@@ -178,11 +184,11 @@
     let (requests, slots) = told.unwrap_or((0.0, UNKNOWN_SLOTS));
     let outlook = TargetEstimate {
         service_time: line
-            .pace
+            .service_time
             .get()
             .seconds()
             .unwrap_or(service_time::DEFAULT_SERVICE_TIME_S),
-        in_flight: requests.max(f64::from(line.running.get())),
+        in_flight: requests.max(f64::from(line.in_flight.get())),
         slots,
         slowdown: 1.0,
         is_local: near,
@@ -192,14 +198,14 @@
 }
 
 /// Takes this instance's part of the rate that a cold target bears.
-fn cold_token(
+fn try_take_cold_token(
     context: &Context,
     service: &Service,
-    line: &Line,
+    line: &TargetConnections,
     now: Instant,
 ) -> Result<(), Duration> {
     let rate = service.cold_rate * COLD_SHARE / f64::from(context.instance_count.get().max(1));
-    line.tokens.borrow_mut().try_take(rate, now)
+    line.cold_tokens.borrow_mut().try_take(rate, now)
 }
 
 /// Returns whether the target's data centre is withdrawn for longer than a part of the bound.
@@ -211,13 +217,13 @@
 }
 
 /// Returns the connections to the present run of a target.
-fn line(context: &Context, seen: &Seen, now: Instant) -> Rc<Line> {
+fn line(context: &Context, seen: &Seen, now: Instant) -> Rc<TargetConnections> {
     let mut lines = context.connections.borrow_mut();
     let id = &seen.target.id;
-    if let Some(line) = lines.get(id).filter(|line| line.is_to(&seen.target)) {
+    if let Some(line) = lines.get(id).filter(|line| line.is_for(&seen.target)) {
         return line.clone();
     }
-    let line = Rc::new(Line::new(&seen.target, now));
+    let line = Rc::new(TargetConnections::new(&seen.target, now));
     lines.insert(id.clone(), line.clone());
     line
 }
--- a/crates/cowslipcross/src/shutdown.rs
+++ b/crates/cowslipcross/src/shutdown.rs
@@ -5,7 +5,7 @@
         context::Context,
         events::{self, EventFields},
         lead::seat,
-        serve::entry::Conns,
+        serve::server::CallerConnections,
     },
     std::time::Duration,
     tokio::{
@@ -26,7 +26,7 @@
 pub async fn drain_after_signal(
     mut signal: Signal,
     context: &Context,
-    conns: &Conns,
+    conns: &CallerConnections,
     accepting: JoinHandle<()>,
 ) {
     signal.recv().await;
@@ -39,8 +39,8 @@
     seat::resign(context).await;
     sleep_until(end.min(begun + ACCEPTING)).await;
     accepting.abort();
-    conns.close();
-    while Instant::now() < end && (conns.count() > 0 || context.active_requests.get() > 0) {
+    conns.close_idle();
+    while Instant::now() < end && (conns.open_count() > 0 || context.active_requests.get() > 0) {
         sleep(CHECK).await;
     }
     let detail = format!("{} requests in progress", context.active_requests.get());
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration and their withdrawals of data centres.
 
 use {
-    crate::{context::Context, events, serve::route::Routes, views::health::Health},
+    crate::{context::Context, events, serve::routes::Routes, views::health::Health},
     cowslip_adapter::{
         Error,
         config::Config,
