--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        serve::{counter_guard::CounterGuard, response::ResponseBody},
+        serve::{caller_response::ResponseBody, counter_guard::CounterGuard},
         status::Status,
     },
     bytes::Bytes,
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         context::Context,
-        serve::{exchange::ExchangeOutcome, request::BadRequest, response::RequestOutcome},
+        serve::{caller_response::RequestOutcome, exchange::ExchangeOutcome, request::BadRequest},
         status::ViewAges,
     },
     cowslip_adapter::config::Route,
@@ -131,7 +131,7 @@
             ExchangeOutcome::NotExecuted(_) => "refused",
             ExchangeOutcome::Unsent(_) => "unsent",
             ExchangeOutcome::Broken(_) => "broken",
-            ExchangeOutcome::DeadlinePassed => "late",
+            ExchangeOutcome::TimedOut => "late",
         };
         self.attempts.with_label_values(&[service, word]).inc();
     }
--- a/crates/cowslipcross/src/serve.rs
+++ b/crates/cowslipcross/src/serve.rs
@@ -1,12 +1,12 @@
-//! The way of a request, from a caller's connection to a target and back.
+//! Receives callers' requests, forwards them to targets and returns the responses.
 
 pub mod blocked_keys;
+pub mod caller_response;
 pub mod counter_guard;
 pub mod exchange;
 pub mod forward;
 pub mod permits;
 pub mod request;
-pub mod response;
 pub mod routes;
 pub mod server;
 pub mod target_connections;
--- a/crates/cowslipcross/src/serve/blocked_keys.rs
+++ b/crates/cowslipcross/src/serve/blocked_keys.rs
@@ -1,4 +1,4 @@
-//! Keys whose recorded owner does not own them any more, or not yet.
+//! Keys whose recorded owner refused a request: it no longer owns them, or not yet.
 
 use {
     cowslip_decide::{
@@ -9,14 +9,14 @@
     tokio::time::Instant,
 };
 
-/// First time for which requests wait; it doubles with each further refusal.
-const FIRST: Duration = Duration::from_millis(50);
+/// First time for which requests wait; doubled with each further refusal.
+const MIN_BLOCK: Duration = Duration::from_millis(50);
 /// Longest time for which requests wait.
-const LONGEST: Duration = Duration::from_millis(400);
+const MAX_BLOCK: Duration = Duration::from_millis(400);
 
-/// Pieces whose owner refused a request, by service and first key.
+/// Assignments whose owner refused a request, by service and first key.
 ///
-/// Requests for them wait for another owner, so that one refusal does for all of them.
+/// Requests for these keys wait for a new owner instead of each being refused by the old one.
 #[derive(Debug, Default)]
 pub struct BlockedKeys(BTreeMap<(Name, u16), BlockedAssignment>);
 
@@ -28,36 +28,37 @@
 }
 
 impl BlockedKeys {
-    /// Takes the refusal of a request by the owner of a piece.
-    pub fn record_refusal(&mut self, service: &Name, piece: &Assignment, now: Instant) {
-        let key = (service.clone(), piece.first);
-        let before = self.0.get(&key).filter(|it| it.fence == piece.fence);
-        if before.is_some_and(|it| it.until > now) {
+    /// Blocks an assignment whose owner refused a request, unless it is blocked already.
+    pub fn record_refusal(&mut self, service: &Name, assignment: &Assignment, now: Instant) {
+        let key = (service.clone(), assignment.first);
+        let known = self.0.get(&key).filter(|it| it.fence == assignment.fence);
+        if known.is_some_and(|it| it.until > now) {
             return;
         }
-        let wait = before.map_or(FIRST, |it| (2 * it.wait).min(LONGEST));
-        let block = BlockedAssignment {
-            fence: piece.fence,
+        let wait = known.map_or(MIN_BLOCK, |it| (2 * it.wait).min(MAX_BLOCK));
+        let blocked = BlockedAssignment {
+            fence: assignment.fence,
             until: now + wait,
             wait,
         };
-        self.0.insert(key, block);
+        self.0.insert(key, blocked);
     }
 
-    /// Takes an answer of the owner of a piece.
-    pub fn remove(&mut self, service: &Name, piece: &Assignment) {
-        self.0.remove(&(service.clone(), piece.first));
+    /// Unblocks an assignment whose owner answered a request.
+    pub fn unblock(&mut self, service: &Name, assignment: &Assignment) {
+        self.0.remove(&(service.clone(), assignment.first));
     }
 
-    /// Returns how long requests for a piece wait, unless it has another owner by then.
+    /// Returns how long requests for an assignment still wait; `None` if it is not blocked or its
+    /// fence has changed.
     pub fn remaining_wait(
         &self,
         service: &Name,
-        piece: &Assignment,
+        assignment: &Assignment,
         now: Instant,
     ) -> Option<Duration> {
-        let block = self.0.get(&(service.clone(), piece.first))?;
-        let blocked = block.fence == piece.fence && block.until > now;
-        blocked.then(|| block.until - now)
+        let entry = self.0.get(&(service.clone(), assignment.first))?;
+        let is_blocked = entry.fence == assignment.fence && entry.until > now;
+        is_blocked.then(|| entry.until - now)
     }
 }
--- /dev/null
+++ b/crates/cowslipcross/src/serve/caller_response.rs
@@ -0,0 +1,115 @@
+//! Outcomes of callers' requests and the HTTP responses for them.
+
+use {
+    crate::serve::{exchange::TargetResponse, request::BadRequest},
+    bytes::Bytes,
+    cowslip_adapter::headers,
+    cowslip_decide::verdict::{Reason, Verdict},
+    http::{HeaderValue, Response, StatusCode, header},
+    http_body_util::Full,
+    std::time::Duration,
+};
+
+/// Body of every response to a caller.
+pub type ResponseBody = Full<Bytes>;
+
+/// Part of a caller's remaining time to which `retry-after` is limited: callers follow it only up to
+/// one third of that time.
+const MAX_RETRY_AFTER_FACTOR: f64 = 0.3;
+
+/// A refusal: the request has not run and will not run.
+#[derive(Clone, Debug)]
+pub struct Refusal {
+    /// Why the request was refused.
+    pub reason: Reason,
+    /// Time after which a retry may succeed.
+    pub wait: Duration,
+}
+
+/// How a caller's request ended.
+#[derive(Clone, Debug)]
+pub enum RequestOutcome {
+    /// A target answered; its response is passed on unchanged.
+    Completed(TargetResponse),
+    /// The request has not run and will not run.
+    Refused(Refusal),
+    /// The request may have run, and no complete response was received.
+    Failed(Reason),
+    /// The request may have run, and its deadline has passed.
+    TimedOut,
+}
+
+impl RequestOutcome {
+    /// Returns whether the request ran.
+    pub fn verdict(&self) -> Verdict {
+        match self {
+            Self::Completed(_) => Verdict::Ran,
+            Self::Refused(_) => Verdict::NotRun,
+            Self::Failed(_) | Self::TimedOut => Verdict::MayHaveRun,
+        }
+    }
+
+    /// Returns why there is no target's response; `None` if there is one.
+    pub fn reason(&self) -> Option<Reason> {
+        match self {
+            Self::Completed(_) => None,
+            Self::Refused(refusal) => Some(refusal.reason),
+            Self::Failed(reason) => Some(*reason),
+            Self::TimedOut => Some(Reason::Deadline),
+        }
+    }
+
+    /// Converts to an HTTP response; `remaining` is the time until the caller's deadline.
+    pub fn into_response(self, id: &HeaderValue, remaining: Duration) -> Response<ResponseBody> {
+        let mut response = match self {
+            Self::Completed(received) => return forwarded_response(received),
+            Self::Refused(refusal) => refusal_response(&refusal, remaining),
+            Self::Failed(reason) => text_response(StatusCode::BAD_GATEWAY, reason.as_str()),
+            Self::TimedOut => text_response(StatusCode::GATEWAY_TIMEOUT, Reason::Deadline.as_str()),
+        };
+        response
+            .headers_mut()
+            .insert(headers::REQUEST_ID, id.clone());
+        response
+    }
+}
+
+/// Returns the response to a request that cannot be read or routed.
+pub fn bad_request_response(bad: &BadRequest) -> Response<ResponseBody> {
+    let mut response = text_response(bad.status(), bad.message());
+    if *bad == BadRequest::NoConfig {
+        let wait = headers::format_retry_after(Duration::from_millis(300));
+        response.headers_mut().insert(header::RETRY_AFTER, wait);
+    }
+    response
+}
+
+fn forwarded_response(received: TargetResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(Full::new(received.body));
+    *response.status_mut() = received.status;
+    *response.headers_mut() = received.headers;
+    response
+}
+
+/// Returns a 503 whose `retry-after` varies at random, so that callers do not retry all at once.
+fn refusal_response(refusal: &Refusal, remaining: Duration) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.as_str());
+    let jitter = 0.8 + 0.4 * rand::random::<f64>();
+    let wait = refusal
+        .wait
+        .mul_f64(jitter)
+        .min(remaining.mul_f64(MAX_RETRY_AFTER_FACTOR));
+    let wait = headers::format_retry_after(wait);
+    response.headers_mut().insert(header::RETRY_AFTER, wait);
+    response
+}
+
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    let content_type = HeaderValue::from_static("text/plain");
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
+    response
+}
--- a/crates/cowslipcross/src/serve/counter_guard.rs
+++ b/crates/cowslipcross/src/serve/counter_guard.rs
@@ -1,15 +1,15 @@
-//! Counts what is in progress.
+//! Counting of requests and connections in progress.
 
 use std::cell::Cell;
 
-/// One that counts until this is dropped.
+/// Increments a counter on creation and decrements it when dropped.
 pub struct CounterGuard<'a>(&'a Cell<u32>);
 
 impl<'a> CounterGuard<'a> {
-    /// Counts one more.
-    pub fn new(count: &'a Cell<u32>) -> Self {
-        count.set(count.get() + 1);
-        Self(count)
+    /// Increments the counter.
+    pub fn new(counter: &'a Cell<u32>) -> Self {
+        counter.set(counter.get() + 1);
+        Self(counter)
     }
 }
 
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on one connection to a target, up to its whole answer or to what was seen instead.
+//! One request on one connection to a target, and its response or the reason why there is none.
 
 use {
     crate::serve::{
@@ -19,99 +19,100 @@
 /// Body of every request to a target.
 pub type RequestBody = Full<Bytes>;
 
-/// Longest answer that is passed on, in bytes.
-const LONGEST_ANSWER: usize = 32 << 20;
-/// Time beyond the deadline that a target may take for its own last word on a request that may not
-/// be repeated.
-const LAST_WORD: Duration = Duration::from_millis(120);
+/// Size of the largest response body that is passed on.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Time after the deadline for which the response to a non-idempotent request is awaited, as the
+/// target may still report whether the request ran.
+const RESPONSE_GRACE: Duration = Duration::from_millis(120);
 
-/// Whole answer of a target.
+/// Complete response of a target.
 #[derive(Clone, Debug)]
 pub struct TargetResponse {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers that are passed on.
+    /// Headers to pass on to the caller.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// How an attempt to send a request to a target ended.
 #[derive(Clone, Debug)]
 pub enum ExchangeOutcome {
     /// The target answered.
     Completed(TargetResponse),
-    /// The target says that it did not run the request.
+    /// The target answered that it did not run the request.
     NotExecuted(ResponseMetadata),
-    /// No byte left: there was no connection.
+    /// No connection was available, so nothing was sent.
     Unsent(ConnectError),
-    /// Bytes may have left, and no whole answer came.
+    /// The request was at least partly sent, and no valid response was received; holds the cause.
     Broken(&'static str),
-    /// Bytes may have left, and the deadline passed.
-    DeadlinePassed,
+    /// The request was at least partly sent, and its deadline passed.
+    TimedOut,
 }
 
-/// A connection in use; it counts as closed unless it is kept.
-struct Used<'a> {
-    line: &'a TargetConnections,
-    link: Option<Connection>,
+/// A connection in use; counted as closed on drop unless it was returned for reuse.
+struct ActiveConnection<'a> {
+    target_connections: &'a TargetConnections,
+    connection: Option<Connection>,
 }
 
-impl Drop for Used<'_> {
+impl Drop for ActiveConnection<'_> {
     fn drop(&mut self) {
-        if self.link.take().is_some() {
-            self.line.count_closed();
+        if self.connection.take().is_some() {
+            self.target_connections.count_closed();
         }
     }
 }
 
-/// Sends a request to a target and waits for its whole answer.
+/// Sends a request to a target on an idle or new connection and waits for the complete response.
 pub async fn send_request(
-    line: Rc<TargetConnections>,
+    connections: Rc<TargetConnections>,
     target: Name,
     request: Rc<CallerRequest>,
-    most: u32,
+    max_connections: u32,
 ) -> ExchangeOutcome {
-    let _running = CounterGuard::new(&line.in_flight);
-    let last = match request.route.idempotent {
+    let _active = CounterGuard::new(&connections.active_requests);
+    let response_deadline = match request.route.idempotent {
         true => request.deadline,
-        false => request.deadline + LAST_WORD,
+        false => request.deadline + RESPONSE_GRACE,
     };
-    let begun = Instant::now();
-    let mut first = line.take_idle();
+    let start = Instant::now();
+    let mut idle = connections.take_idle();
     loop {
-        let (link, reused) = match first.take() {
-            Some(link) => (link, true),
-            None => match timeout_at(request.deadline, line.open(most)).await {
-                Ok(Ok(link)) => (link, false),
+        let (connection, is_reused) = match idle.take() {
+            Some(connection) => (connection, true),
+            None => match timeout_at(request.deadline, connections.open(max_connections)).await {
+                Ok(Ok(connection)) => (connection, false),
                 Ok(Err(cause)) => return ExchangeOutcome::Unsent(cause),
                 Err(_) => return ExchangeOutcome::Unsent(ConnectError::Failed),
             },
         };
-        let used = Used {
-            line: &line,
-            link: Some(link),
+        let active = ActiveConnection {
+            target_connections: &connections,
+            connection: Some(connection),
         };
-        let Some(message) = message(&request, &target) else {
+        let Some(message) = build_message(&request, &target) else {
             return ExchangeOutcome::Unsent(ConnectError::Failed);
         };
-        match timeout_at(last, send(used, message, &request)).await {
-            // The connection had ended while it was idle: nothing left on it.
-            Ok(None) if reused => first = line.take_idle(),
+        match timeout_at(response_deadline, exchange(active, message, &request)).await {
+            // The connection was closed while idle, so nothing was sent on it.
+            Ok(None) if is_reused => idle = connections.take_idle(),
             Ok(None) => return ExchangeOutcome::Unsent(ConnectError::Failed),
-            Ok(Some(end)) => {
-                if matches!(end, ExchangeOutcome::Completed(_)) {
-                    line.record_service_time(begun.elapsed());
+            Ok(Some(outcome)) => {
+                if matches!(outcome, ExchangeOutcome::Completed(_)) {
+                    connections.record_service_time(start.elapsed());
                 }
-                return end;
+                return outcome;
             }
-            Err(_) => return ExchangeOutcome::DeadlinePassed,
+            Err(_) => return ExchangeOutcome::TimedOut,
         }
     }
 }
 
-fn message(request: &CallerRequest, target: &Name) -> Option<http::Request<RequestBody>> {
-    let left = request.deadline.saturating_duration_since(Instant::now());
+/// Builds the HTTP request for a target; `None` if the path or the target's id is not valid in HTTP.
+fn build_message(request: &CallerRequest, target: &Name) -> Option<http::Request<RequestBody>> {
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
     let mut message = http::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.path.parse().ok()?;
@@ -119,7 +120,7 @@
     let headers = message.headers_mut();
     headers.insert(
         headers::DEADLINE,
-        HeaderValue::from(left.as_millis() as u64),
+        HeaderValue::from(remaining.as_millis() as u64),
     );
     headers.insert(
         headers::REQUIRED_TARGET,
@@ -134,60 +135,68 @@
     Some(message)
 }
 
-/// Returns `None` if the connection had ended before any byte left.
-async fn send(
-    mut used: Used<'_>,
+/// Sends a request on a connection; returns `None` if it was closed before anything was sent.
+async fn exchange(
+    mut active: ActiveConnection<'_>,
     message: http::Request<RequestBody>,
     request: &CallerRequest,
 ) -> Option<ExchangeOutcome> {
-    let sender = &mut used.link.as_mut()?.sender;
+    let sender = &mut active.connection.as_mut()?.sender;
     if sender.ready().await.is_err() {
         return None;
     }
-    let answer = match sender.try_send_request(message).await {
-        Ok(answer) => answer,
+    let response = match sender.try_send_request(message).await {
+        Ok(response) => response,
         Err(mut error) => {
             return match error.take_message() {
                 Some(_) => None,
                 None => Some(ExchangeOutcome::Broken(
-                    "connection broke before the answer",
+                    "connection closed before the response",
                 )),
             };
         }
     };
-    let signs = headers::parse_response_head(answer.status(), answer.headers());
-    if !headers::has_request_id(answer.headers(), &request.id) && !signs.not_executed {
+    let metadata = headers::parse_response_head(response.status(), response.headers());
+    if !headers::has_request_id(response.headers(), &request.id) && !metadata.not_executed {
         return Some(ExchangeOutcome::Broken("answer to another request"));
     }
-    if let Some(load) = signs.load {
-        used.line.load.set(Some((load, Instant::now())));
+    if let Some(load) = metadata.load {
+        active
+            .target_connections
+            .load
+            .set(Some((load, Instant::now())));
     }
-    let whole = whole(answer).await;
-    let Some(whole) = whole else {
-        return Some(match signs.not_executed {
-            true => ExchangeOutcome::NotExecuted(signs),
-            false => ExchangeOutcome::Broken("answer ended early"),
+    let complete = read_response(response).await;
+    let Some(complete) = complete else {
+        return Some(match metadata.not_executed {
+            true => ExchangeOutcome::NotExecuted(metadata),
+            false => ExchangeOutcome::Broken("response truncated or too long"),
         });
     };
-    if let Some(link) = used.link.take() {
-        match signs.closes_connection {
-            true => used.line.count_closed(),
-            false => used.line.return_idle(link, signs.keep_alive),
+    if let Some(connection) = active.connection.take() {
+        match metadata.closes_connection {
+            true => active.target_connections.count_closed(),
+            false => active
+                .target_connections
+                .return_idle(connection, metadata.keep_alive),
         }
     }
-    if signs.not_executed {
-        return Some(ExchangeOutcome::NotExecuted(signs));
+    if metadata.not_executed {
+        return Some(ExchangeOutcome::NotExecuted(metadata));
     }
-    if whole.status.is_success() && !signs.signed {
-        return Some(ExchangeOutcome::Broken("answer without a signature"));
+    if complete.status.is_success() && !metadata.signed {
+        return Some(ExchangeOutcome::Broken("response without a signature"));
     }
-    Some(ExchangeOutcome::Completed(whole))
+    Some(ExchangeOutcome::Completed(complete))
 }
 
-/// Returns the whole answer, or `None` if it ended early or is too long.
-async fn whole(answer: Response<Incoming>) -> Option<TargetResponse> {
-    let (head, body) = answer.into_parts();
-    let body = Limited::new(body, LONGEST_ANSWER).collect().await.ok()?;
+/// Reads the complete response; returns `None` if it is truncated or too long.
+async fn read_response(response: Response<Incoming>) -> Option<TargetResponse> {
+    let (head, body) = response.into_parts();
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
+        .collect()
+        .await
+        .ok()?;
     let mut headers = headers::copy_end_to_end(&head.headers);
     headers.remove(header::CONTENT_LENGTH);
     Some(TargetResponse {
--- a/crates/cowslipcross/src/serve/forward.rs
+++ b/crates/cowslipcross/src/serve/forward.rs
@@ -1,14 +1,14 @@
-//! The attempts of a request, up to the answer for its caller.
+//! Attempts to send a request to targets until it is answered, refused or has failed.
 
 use {
     crate::{
         context::Context,
         events::{self, EventCode, EventFields},
         serve::{
+            caller_response::{Refusal, RequestOutcome},
             exchange::{self, ExchangeOutcome},
             permits::{self, Permit, PermitResult},
             request::CallerRequest,
-            response::{Refusal, RequestOutcome},
             target_connections::{ConnectError, TargetConnections},
             target_selection::{self, Selection, select_target},
         },
@@ -26,254 +26,265 @@
     },
 };
 
-/// Time after which callers come back where nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(400);
+/// Time after which a refused caller should retry if no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// What follows a choice of a target.
+/// What to do after a target was selected or an attempt ended.
 enum Step {
-    /// The caller gets this.
+    /// End the request.
     Finish(RequestOutcome),
-    /// Choose again after this time.
-    Again(Duration),
-    /// Choose again when something has changed, or after this time.
-    Change(Duration),
+    /// Select a target again after this time.
+    SelectAfter(Duration),
+    /// Select a target again when the routing data change, or after this time.
+    SelectOnChange(Duration),
 }
 
-/// Sends a request until it is answered or given up.
+/// Sends a request to targets until one answers, it is refused, or no attempt may follow.
 pub async fn forward_request(context: Rc<Context>, request: Rc<CallerRequest>) -> RequestOutcome {
     context.count_request(&request.service);
-    let mut course = AttemptHistory::default();
+    let mut history = AttemptHistory::default();
     loop {
         if Instant::now() >= request.deadline {
-            return ended(course.final_error(Reason::Deadline));
+            return error_outcome(history.final_error(Reason::Deadline));
         }
         let step = match select_target(&context, &request) {
-            Selection::Refuse(wait) => return given_back(&course, wait),
-            Selection::Wait(look) => Step::Change(look),
-            Selection::Owner(line, target) => {
-                course.clear_owner_wait();
-                to_owner(&context, &request, &mut course, line, &target).await
+            Selection::Refuse(wait) => return overload_outcome(&history, wait),
+            Selection::Wait(poll_interval) => Step::SelectOnChange(poll_interval),
+            Selection::Owner(connections, target) => {
+                history.clear_owner_wait();
+                forward_to_owner(&context, &request, &mut history, connections, &target).await
             }
-            Selection::AnyTarget => to_any(&context, &request, &mut course).await,
+            Selection::AnyTarget => forward_to_any(&context, &request, &mut history).await,
         };
         match step {
-            Step::Finish(answer) => return answer,
-            Step::Again(Duration::ZERO) => {}
-            Step::Again(pause) => sleep(pause).await,
-            Step::Change(look) => {
-                if let Some(answer) = wait(&context, &request, &mut course, look).await {
-                    return answer;
+            Step::Finish(outcome) => return outcome,
+            Step::SelectAfter(Duration::ZERO) => {}
+            Step::SelectAfter(delay) => sleep(delay).await,
+            Step::SelectOnChange(poll_interval) => {
+                if let Some(outcome) =
+                    wait_for_change(&context, &request, &mut history, poll_interval).await
+                {
+                    return outcome;
                 }
             }
         }
     }
 }
 
-/// Sends a request to the owner of its key, with a permit if there is who gives one.
-async fn to_owner(
+/// Sends a request to the owner of its key, without a permit if no coordinator answers.
+async fn forward_to_owner(
     context: &Rc<Context>,
     request: &Rc<CallerRequest>,
-    course: &mut AttemptHistory,
-    line: Rc<TargetConnections>,
+    history: &mut AttemptHistory,
+    connections: Rc<TargetConnections>,
     target: &Name,
 ) -> Step {
     let permit = match permits::request_permit(context, request, Some(target), &[]).await {
-        PermitResult::Granted(permit, _) => Some(permit),
-        PermitResult::Refused(wait) => return Step::Finish(given_back(course, wait)),
-        PermitResult::RoutingChanged => return Step::Again(Duration::ZERO),
+        PermitResult::Acquired(permit, _) => Some(permit),
+        PermitResult::Denied(wait) => return Step::Finish(overload_outcome(history, wait)),
+        PermitResult::RoutingChanged => return Step::SelectAfter(Duration::ZERO),
         PermitResult::Unanswered => None,
     };
-    let same = |choice| matches!(choice, Selection::Owner(_, owner) if owner == *target);
-    if permit.is_some() && !same(select_target(context, request)) {
-        return Step::Again(Duration::ZERO);
+    let is_same = |selection| matches!(selection, Selection::Owner(_, owner) if owner == *target);
+    if permit.is_some() && !is_same(select_target(context, request)) {
+        return Step::SelectAfter(Duration::ZERO);
     }
     if permit.is_none()
         && let Err(wait) = target_selection::take_cold_token(context, request, target)
     {
-        return Step::Finish(given_back(course, wait));
+        return Step::Finish(overload_outcome(history, wait));
     }
-    let end = attempt(context, request, line, target, permit).await;
-    after(context, request, course, target, end)
+    let outcome = run_attempt(context, request, connections, target, permit).await;
+    finish_attempt(context, request, history, target, outcome)
 }
 
-/// Sends a request to a target of an undivided service.
-async fn to_any(
+/// Sends a request to a target of an unsharded service, without a permit if no coordinator answers.
+async fn forward_to_any(
     context: &Rc<Context>,
     request: &Rc<CallerRequest>,
-    course: &mut AttemptHistory,
+    history: &mut AttemptHistory,
 ) -> Step {
-    let (line, target, permit) =
-        match permits::request_permit(context, request, None, &course.excluded).await {
-            PermitResult::Granted(permit, target) => {
+    let (connections, target, permit) =
+        match permits::request_permit(context, request, None, &history.excluded).await {
+            PermitResult::Acquired(permit, target) => {
                 match target_selection::open_connections(context, &target) {
-                    Some(line) => (line, target, Some(permit)),
+                    Some(connections) => (connections, target, Some(permit)),
                     None => {
-                        course.exclude_target(target);
-                        return Step::Again(Duration::ZERO);
+                        history.exclude_target(target);
+                        return Step::SelectAfter(Duration::ZERO);
                     }
                 }
             }
-            PermitResult::Refused(wait) => return Step::Finish(given_back(course, wait)),
-            PermitResult::RoutingChanged => return Step::Again(Duration::ZERO),
+            PermitResult::Denied(wait) => return Step::Finish(overload_outcome(history, wait)),
+            PermitResult::RoutingChanged => return Step::SelectAfter(Duration::ZERO),
             PermitResult::Unanswered => {
-                match target_selection::select_without_permit(context, request, &course.excluded) {
-                    Ok((line, target)) => (line, target, None),
-                    Err(wait) => return Step::Finish(given_back(course, wait)),
+                match target_selection::select_without_permit(context, request, &history.excluded) {
+                    Ok((connections, target)) => (connections, target, None),
+                    Err(wait) => return Step::Finish(overload_outcome(history, wait)),
                 }
             }
         };
-    let end = attempt(context, request, line, &target, permit).await;
-    after(context, request, course, &target, end)
+    let outcome = run_attempt(context, request, connections, &target, permit).await;
+    finish_attempt(context, request, history, &target, outcome)
 }
 
-/// Waits for a change; returns the refusal of a request that has waited long enough.
-async fn wait(
+/// Waits until the routing data change, at most `poll_interval`; returns the outcome if the request
+/// may not wait any longer.
+async fn wait_for_change(
     context: &Context,
     request: &CallerRequest,
-    course: &mut AttemptHistory,
-    look: Duration,
+    history: &mut AttemptHistory,
+    poll_interval: Duration,
 ) -> Option<RequestOutcome> {
     let now = Instant::now();
-    let Some(end) = course.poll_owner_wait(request.deadline, now) else {
-        return Some(ended(course.final_error(Reason::NoOwner)));
+    let Some(end) = history.poll_owner_wait(request.deadline, now) else {
+        return Some(error_outcome(history.final_error(Reason::NoOwner)));
     };
     let changed = context.routing_changed.notified();
-    // A timeout only means that it is time to look again.
-    let _ = timeout_at(end.min(now + look), changed).await;
+    // After a timeout a target is selected again as after a change.
+    let _ = timeout_at(end.min(now + poll_interval), changed).await;
     None
 }
 
-/// Sends a request once.
+/// Sends a request to a target once and reports the outcome with the permit.
 ///
-/// One that may not be repeated goes on at its target when its caller leaves.
-async fn attempt(
+/// A request that is not idempotent is continued in a task of its own if its caller disconnects.
+async fn run_attempt(
     context: &Rc<Context>,
     request: &Rc<CallerRequest>,
-    line: Rc<TargetConnections>,
+    connections: Rc<TargetConnections>,
     target: &Name,
     permit: Option<Permit>,
 ) -> ExchangeOutcome {
-    let most = connections(context, request);
-    let exchange = exchange::send_request(line.clone(), target.clone(), request.clone(), most);
-    let run = async move {
-        let end = exchange.await;
+    let max_connections = connection_limit(context, request);
+    let exchange = exchange::send_request(
+        connections.clone(),
+        target.clone(),
+        request.clone(),
+        max_connections,
+    );
+    let attempt = async move {
+        let ended = exchange.await;
         if let Some(permit) = permit {
-            permit.outcome.set(outcome(&end));
-            permit.slowdown.set(line.slowdown());
+            permit.outcome.set(permit_outcome(&ended));
+            permit.slowdown.set(connections.slowdown());
         }
-        end
+        ended
     };
     if request.route.idempotent {
-        return run.await;
+        return attempt.await;
     }
-    let ended = spawn_local(run).await;
-    ended.unwrap_or(ExchangeOutcome::Broken("attempt ended"))
+    let joined = spawn_local(attempt).await;
+    joined.unwrap_or(ExchangeOutcome::Broken("task of the attempt failed"))
 }
 
-/// Returns what the holder of the pool has to know of an end.
-fn outcome(end: &ExchangeOutcome) -> PermitOutcome {
-    match end {
+/// Returns the outcome to report to the coordinator of the pool.
+fn permit_outcome(outcome: &ExchangeOutcome) -> PermitOutcome {
+    match outcome {
         ExchangeOutcome::Completed(_) => PermitOutcome::Served,
-        ExchangeOutcome::NotExecuted(signs) if signs.misdirected => PermitOutcome::Unused,
+        ExchangeOutcome::NotExecuted(metadata) if metadata.misdirected => PermitOutcome::Unused,
         ExchangeOutcome::NotExecuted(_) => PermitOutcome::Shed,
         ExchangeOutcome::Unsent(ConnectError::LimitReached) => PermitOutcome::Unused,
         ExchangeOutcome::Unsent(ConnectError::Failed) => PermitOutcome::NotConnected,
-        ExchangeOutcome::Broken(_) | ExchangeOutcome::DeadlinePassed => PermitOutcome::Broken,
+        ExchangeOutcome::Broken(_) | ExchangeOutcome::TimedOut => PermitOutcome::Broken,
     }
 }
 
-/// Returns how many connections this instance may have to one target of the service.
-fn connections(context: &Context, request: &CallerRequest) -> u32 {
+/// Returns how many connections this instance may have to each target of the request's service.
+fn connection_limit(context: &Context, request: &CallerRequest) -> u32 {
     let config = context.config.borrow();
     let service = config
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
-    let all = service.map_or(1, |it| it.max_connections.min(10_000) as u32);
-    (all / context.instance_count.get().max(1)).max(2)
+    let limit = service.map_or(1, |it| it.max_connections.min(10_000) as u32);
+    (limit / context.instance_count.get().max(1)).max(2)
 }
 
-/// Takes the end of an attempt, and returns what follows.
-fn after(
+/// Records how an attempt ended and returns what to do next.
+fn finish_attempt(
     context: &Context,
     request: &CallerRequest,
-    course: &mut AttemptHistory,
+    history: &mut AttemptHistory,
     target: &Name,
-    end: ExchangeOutcome,
+    outcome: ExchangeOutcome,
 ) -> Step {
-    context.metrics.count_attempt(&request.service, &end);
-    let seen = seen(request, &end);
-    match seen {
-        AttemptOutcome::Answered | AttemptOutcome::ServerError => unblock(context, request),
-        AttemptOutcome::NotOwner => block(context, request),
+    context.metrics.count_attempt(&request.service, &outcome);
+    let attempt = attempt_outcome(request, &outcome);
+    match attempt {
+        AttemptOutcome::Answered | AttemptOutcome::ServerError => unblock_keys(context, request),
+        AttemptOutcome::NotOwner => block_keys(context, request),
         _ => {}
     }
-    note_end(context, request, target, &end, seen);
-    let kind = RetryPolicy {
+    record_attempt_event(context, request, target, &outcome, attempt);
+    let policy = RetryPolicy {
         idempotent: request.route.idempotent,
         sharded: request.key.is_some(),
         max_attempts: request.route.max_attempts,
     };
-    let next = course.record_attempt(kind, target, seen, || {
+    let next = history.record_attempt(policy, target, attempt, || {
         context.reserve_retry(&request.service)
     });
-    match (next, end) {
-        (NextAction::ReturnAnswer, ExchangeOutcome::Completed(whole)) => {
-            Step::Finish(RequestOutcome::Completed(whole))
+    match (next, outcome) {
+        (NextAction::ReturnAnswer, ExchangeOutcome::Completed(response)) => {
+            Step::Finish(RequestOutcome::Completed(response))
         }
-        // Only whole answers are passed on.
+        // Only complete responses are passed on.
         (NextAction::ReturnAnswer, _) => Step::Finish(RequestOutcome::Failed(Reason::Broken)),
-        (NextAction::ReturnError(ending), _) => Step::Finish(ended(ending)),
-        (NextAction::RetryOnChange(look), _) => Step::Change(look),
-        (NextAction::RetryAfter(pause), _) => {
-            if matches!(seen, AttemptOutcome::ServerError | AttemptOutcome::Broken) {
-                note(context, events::RETRY, request, target, "repeatable");
+        (NextAction::ReturnError(error), _) => Step::Finish(error_outcome(error)),
+        (NextAction::RetryOnChange(poll_interval), _) => Step::SelectOnChange(poll_interval),
+        (NextAction::RetryAfter(delay), _) => {
+            if matches!(
+                attempt,
+                AttemptOutcome::ServerError | AttemptOutcome::Broken
+            ) {
+                record_event(context, events::RETRY, request, target, "repeatable");
             }
-            Step::Again(pause)
+            Step::SelectAfter(delay)
         }
     }
 }
 
-/// Returns what an end says to the decision about the next attempt.
-fn seen(request: &CallerRequest, end: &ExchangeOutcome) -> AttemptOutcome {
-    match end {
-        ExchangeOutcome::Completed(whole) if whole.status.is_server_error() => {
+/// Returns the outcome of an exchange as input to the decision about the next attempt.
+fn attempt_outcome(request: &CallerRequest, outcome: &ExchangeOutcome) -> AttemptOutcome {
+    match outcome {
+        ExchangeOutcome::Completed(response) if response.status.is_server_error() => {
             AttemptOutcome::ServerError
         }
         ExchangeOutcome::Completed(_) => AttemptOutcome::Answered,
-        ExchangeOutcome::NotExecuted(signs) if signs.misdirected && request.key.is_some() => {
+        ExchangeOutcome::NotExecuted(metadata) if metadata.misdirected && request.key.is_some() => {
             AttemptOutcome::NotOwner
         }
         ExchangeOutcome::NotExecuted(_) => AttemptOutcome::Refused,
         ExchangeOutcome::Unsent(_) => AttemptOutcome::Unsent,
         ExchangeOutcome::Broken(_) => AttemptOutcome::Broken,
-        ExchangeOutcome::DeadlinePassed => AttemptOutcome::DeadlinePassed,
+        ExchangeOutcome::TimedOut => AttemptOutcome::DeadlinePassed,
     }
 }
 
-fn note_end(
+fn record_attempt_event(
     context: &Context,
     request: &CallerRequest,
     target: &Name,
-    end: &ExchangeOutcome,
-    seen: AttemptOutcome,
+    outcome: &ExchangeOutcome,
+    attempt: AttemptOutcome,
 ) {
-    let (code, cause) = match (seen, end) {
+    let (code, cause) = match (attempt, outcome) {
         (AttemptOutcome::NotOwner, _) => (events::WRONG_OWNER, "owner moved"),
         (AttemptOutcome::Refused, _) => (events::TARGET_SHED, "refused"),
-        (_, ExchangeOutcome::Unsent(cause)) => (events::NO_CONNECTION, cause.text()),
+        (_, ExchangeOutcome::Unsent(cause)) => (events::NO_CONNECTION, cause.message()),
         (_, ExchangeOutcome::Broken(cause)) => (events::MAY_HAVE_RUN, *cause),
         (AttemptOutcome::DeadlinePassed, _) => (events::MAY_HAVE_RUN, "deadline passed"),
         _ => return,
     };
-    note(context, code, request, target, cause);
+    record_event(context, code, request, target, cause);
 }
 
-/// Lets requests for the same keys wait for another owner.
-fn block(context: &Context, request: &CallerRequest) {
+/// Blocks the assignment of the request's key: its owner refused the request.
+fn block_keys(context: &Context, request: &CallerRequest) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
-        let mut blocks = context.blocked_keys.borrow_mut();
-        blocks.record_refusal(
+        let mut blocked = context.blocked_keys.borrow_mut();
+        blocked.record_refusal(
             &request.service,
             owners.table.assignment(key),
             Instant::now(),
@@ -281,35 +292,42 @@
     }
 }
 
-fn unblock(context: &Context, request: &CallerRequest) {
+/// Unblocks the assignment of the request's key: its owner answered the request.
+fn unblock_keys(context: &Context, request: &CallerRequest) {
     let owners = context.owners.borrow();
     if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
-        let mut blocks = context.blocked_keys.borrow_mut();
-        blocks.remove(&request.service, owners.table.assignment(key));
+        let mut blocked = context.blocked_keys.borrow_mut();
+        blocked.unblock(&request.service, owners.table.assignment(key));
     }
 }
 
-/// Returns the answer to a request that nobody can serve in time.
-fn given_back(course: &AttemptHistory, wait: Duration) -> RequestOutcome {
-    match course.final_error(Reason::Overload) {
+/// Returns the outcome of a request that no target can serve in time.
+fn overload_outcome(history: &AttemptHistory, wait: Duration) -> RequestOutcome {
+    match history.final_error(Reason::Overload) {
         FinalError::Refused(reason) => RequestOutcome::Refused(Refusal { reason, wait }),
-        other => ended(other),
+        other => error_outcome(other),
     }
 }
 
-/// Returns the answer to a request that ended without one of a target.
-fn ended(ending: FinalError) -> RequestOutcome {
-    match ending {
+/// Converts the error of a request that got no response of a target.
+fn error_outcome(error: FinalError) -> RequestOutcome {
+    match error {
         FinalError::Refused(reason) => RequestOutcome::Refused(Refusal {
             reason,
-            wait: COME_BACK,
+            wait: DEFAULT_RETRY_AFTER,
         }),
         FinalError::Failed(reason) => RequestOutcome::Failed(reason),
         FinalError::TimedOut => RequestOutcome::TimedOut,
     }
 }
 
-fn note(context: &Context, code: EventCode, request: &CallerRequest, target: &Name, cause: &str) {
+fn record_event(
+    context: &Context,
+    code: EventCode,
+    request: &CallerRequest,
+    target: &Name,
+    cause: &str,
+) {
     let detail = format!(
         "{cause}, service {}, {}, {} ms left",
         request.service,
@@ -319,22 +337,22 @@
             .saturating_duration_since(Instant::now())
             .as_millis()
     );
-    let about = EventFields {
+    let fields = EventFields {
         request: request.id.to_str().ok().map(Name::from),
         key: request.key.map(|key| key.to_string().into()),
         target: Some(target.clone()),
         detail: Some(detail),
         ..EventFields::default()
     };
-    context.events.record(code, about);
+    context.events.record(code, fields);
 }
 
 impl ConnectError {
-    /// Returns the cause in words.
-    fn text(self) -> &'static str {
+    /// Returns the cause for the log.
+    fn message(self) -> &'static str {
         match self {
-            Self::LimitReached => "as many connections as the target may have",
-            Self::Failed => "no connection",
+            Self::LimitReached => "connection limit reached",
+            Self::Failed => "could not connect",
         }
     }
 }
--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -1,8 +1,8 @@
-//! Permits to send: asked for by datagram, given by the instance that holds the pool.
+//! Permits to send requests, requested by datagram from the instance that coordinates the pool.
 //!
-//! Each target of a divided service is a pool of its own; the targets of an undivided service are
-//! one. The members and a hash say who holds a pool, so no agreement is needed: two holders at once
-//! only let a little more through.
+//! Each target of a sharded service is a pool of its own; all targets of an unsharded service form
+//! one. The coordinator of a pool follows from the members and a hash without an agreement between
+//! them: two coordinators at a time only let a few more requests through.
 
 use {
     crate::{
@@ -27,58 +27,62 @@
     },
 };
 
-/// Time after which a question without a reply is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(15);
-/// Questions without a reply after which the holder is passed over.
-const MOST_ASKS: u32 = 3;
-/// Time for which a silent holder is passed over.
-const SILENT: Duration = Duration::from_millis(1500);
-/// Time after which one that waits asks whether it still does.
-const CHECK: Duration = Duration::from_millis(300);
-/// Period in which the holder looks after those that wait.
-const TICK: Duration = Duration::from_millis(20);
-/// Multiple of its rate that a cold target gets; the bound is above it.
-const COLD_SHARE: f64 = 1.1;
+/// Time after which an unanswered permit request is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(15);
+/// Unanswered permit requests after which a coordinator is skipped.
+const MAX_UNANSWERED: u32 = 3;
+/// Time for which a coordinator that does not answer is skipped.
+const SKIP_DURATION: Duration = Duration::from_millis(1500);
+/// Time after which a queued permit request is sent again, in case its reply or the queue was lost.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval at which the coordinator processes its queues.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Factor on the configured rate of a cold target. A target may get somewhat more than its rate in
+/// any one second; 1.1 stays below that allowance.
+const COLD_RATE_FACTOR: f64 = 1.1;
 
-/// A pool: a service, and one target of it if it is divided.
+/// Identifies a pool: a service, and the target if the service is sharded.
 pub type PoolKey = (Name, Option<Name>);
 
-/// Permits that this instance gives and asks for.
+/// State of the permits that this instance grants as coordinator and requests from coordinators.
 #[derive(Default)]
 pub struct Permits {
     pools: RefCell<BTreeMap<PoolKey, Pool<SocketAddr>>>,
-    askers: RefCell<BTreeMap<PermitRequestId<SocketAddr>, PoolKey>>,
-    waiters: RefCell<BTreeMap<u64, Rc<Waiter>>>,
-    silent: RefCell<BTreeMap<SocketAddr, Instant>>,
-    next: Cell<u64>,
+    /// Pools of the requests that are queued or have a permit.
+    requests: RefCell<BTreeMap<PermitRequestId<SocketAddr>, PoolKey>>,
+    /// Replies to this instance's own permit requests, by number.
+    pending_replies: RefCell<BTreeMap<u64, Rc<PendingReply>>>,
+    /// Coordinators that did not answer, with the time until which they are skipped.
+    skipped: RefCell<BTreeMap<SocketAddr, Instant>>,
+    next_number: Cell<u64>,
 }
 
 #[derive(Default)]
-struct Waiter {
+struct PendingReply {
     reply: RefCell<Option<PermitReply>>,
-    told: Notify,
+    received: Notify,
 }
 
-/// A permit; it goes back to its holder when this is dropped.
+/// A permit, or a request for one; returned to the coordinator on drop.
 pub struct Permit {
     context: Rc<Context>,
-    holder: SocketAddr,
+    coordinator: SocketAddr,
     number: u64,
-    /// How the request ended.
+    /// How the request with the permit ended.
     pub outcome: Cell<PermitOutcome>,
-    /// Momentary slowness that the target told.
+    /// Slowdown as last reported by the target.
     pub slowdown: Cell<Option<f64>>,
 }
 
-/// What the question for a permit came to.
+/// Result of a permit request.
 pub enum PermitResult {
-    /// Send to this target.
-    Granted(Permit, Name),
-    /// The request cannot be served in time.
-    Refused(Duration),
-    /// Something changed while the request waited: choose again.
+    /// Send the request to this target.
+    Acquired(Permit, Name),
+    /// The request cannot be served in time; a retry may succeed after this time.
+    Denied(Duration),
+    /// The routing data changed while the request was queued: select a target again.
     RoutingChanged,
-    /// No holder answers: send without a permit.
+    /// No coordinator answers: send without a permit.
     Unanswered,
 }
 
@@ -86,59 +90,57 @@
     fn drop(&mut self) {
         let message = Message::Done {
             number: self.number,
-            outcome: outcome_code(self.outcome.get()),
+            outcome: encode_outcome(self.outcome.get()),
             slowness: self.slowdown.get(),
         };
         self.context
             .permits
-            .waiters
+            .pending_replies
             .borrow_mut()
             .remove(&self.number);
-        tell(&self.context, message, self.holder);
+        send_message(&self.context, message, self.coordinator);
     }
 }
 
-/// Asks for a permit to send to a target, or to any of an undivided service.
+/// Requests a permit for a target, or for any target of an unsharded service except `excluded`.
 pub async fn request_permit(
     context: &Rc<Context>,
     request: &CallerRequest,
     target: Option<&Name>,
-    tried: &[Name],
+    excluded: &[Name],
 ) -> PermitResult {
     let pool = (request.service.clone(), target.cloned());
-    let Some(holder) = holder(context, &pool) else {
+    let Some(coordinator) = find_coordinator(context, &pool) else {
         return PermitResult::Unanswered;
     };
-    let (permit, waiter) = begin(context, holder);
+    let (permit, pending) = create_permit(context, coordinator);
     let mut unanswered = 0;
     loop {
-        let question = question(context, request, &pool, permit.number, tried);
-        tell(context, question, holder);
-        // A late reply counts as none; the question is repeated.
-        let _ = timeout_at(Instant::now() + ASK_AGAIN, waiter.heard()).await;
-        let mut reply = waiter.reply.borrow_mut().take();
+        let message = permit_message(context, request, &pool, permit.number, excluded);
+        send_message(context, message, coordinator);
+        // After a timeout the permit request is sent again, so a late reply is not lost.
+        let _ = timeout_at(Instant::now() + RESEND_DELAY, pending.wait_for_reply()).await;
+        let mut reply = pending.reply.borrow_mut().take();
         match reply {
             None => unanswered += 1,
             Some(PermitReply::Queued) => {
                 unanswered = 0;
                 let changed = context.routing_changed.notified();
-                let check = (Instant::now() + CHECK).min(request.deadline);
+                let check_at = (Instant::now() + QUEUE_CHECK_INTERVAL).min(request.deadline);
                 tokio::select! {
-                    _ = timeout_at(check, waiter.heard()) => {}
+                    _ = timeout_at(check_at, pending.wait_for_reply()) => {}
                     () = changed, if target.is_some() => return PermitResult::RoutingChanged,
                 }
-                reply = waiter.reply.borrow_mut().take();
+                reply = pending.reply.borrow_mut().take();
             }
             _ => {}
         }
         match reply {
-            Some(PermitReply::Granted(target)) => return PermitResult::Granted(permit, target),
-            Some(PermitReply::Refused(wait)) => return PermitResult::Refused(wait),
-            _ if Instant::now() >= request.deadline => {
-                return PermitResult::Refused(Duration::ZERO);
-            }
-            _ if unanswered >= MOST_ASKS => {
-                pass_over(context, holder);
+            Some(PermitReply::Granted(target)) => return PermitResult::Acquired(permit, target),
+            Some(PermitReply::Refused(wait)) => return PermitResult::Denied(wait),
+            _ if Instant::now() >= request.deadline => return PermitResult::Denied(Duration::ZERO),
+            _ if unanswered >= MAX_UNANSWERED => {
+                skip_coordinator(context, coordinator);
                 return PermitResult::Unanswered;
             }
             _ => {}
@@ -146,71 +148,78 @@
     }
 }
 
-/// Makes a permit that is not given yet, and who waits for it.
-fn begin(context: &Rc<Context>, holder: SocketAddr) -> (Permit, Rc<Waiter>) {
+/// Creates a permit that is not granted yet, and the place for the coordinator's replies.
+fn create_permit(context: &Rc<Context>, coordinator: SocketAddr) -> (Permit, Rc<PendingReply>) {
     let permits = &context.permits;
-    let number = permits.next.get();
-    permits.next.set(number + 1);
-    let waiter = Rc::new(Waiter::default());
-    permits.waiters.borrow_mut().insert(number, waiter.clone());
+    let number = permits.next_number.get();
+    permits.next_number.set(number + 1);
+    let pending = Rc::new(PendingReply::default());
+    permits
+        .pending_replies
+        .borrow_mut()
+        .insert(number, pending.clone());
     let permit = Permit {
         context: context.clone(),
-        holder,
+        coordinator,
         number,
         outcome: Cell::new(PermitOutcome::Unused),
         slowdown: Cell::new(None),
     };
-    (permit, waiter)
+    (permit, pending)
 }
 
-fn question(
+fn permit_message(
     context: &Context,
     request: &CallerRequest,
     pool: &PoolKey,
     number: u64,
-    tried: &[Name],
+    excluded: &[Name],
 ) -> Message {
     let now = Instant::now();
-    let left = |until: Instant| until.saturating_duration_since(now).as_millis() as u64;
+    let millis_until = |time: Instant| time.saturating_duration_since(now).as_millis() as u64;
     Message::Ask {
         number,
         service: pool.0.clone(),
         target: pool.1.clone(),
         rank: request.route.priority,
-        left: left(request.deadline),
-        goal: left(request.arrived + request.route.latency_goal),
+        left: millis_until(request.deadline),
+        goal: millis_until(request.arrived + request.route.latency_goal),
         data_centre: context.settings.data_centre.clone(),
-        tried: tried.to_vec(),
+        tried: excluded.to_vec(),
     }
 }
 
-/// Leaves a holder that does not reply alone for a while.
-fn pass_over(context: &Context, holder: SocketAddr) {
-    let until = Instant::now() + SILENT;
-    context.permits.silent.borrow_mut().insert(holder, until);
+/// Skips a coordinator that does not answer for [`SKIP_DURATION`].
+fn skip_coordinator(context: &Context, coordinator: SocketAddr) {
+    let until = Instant::now() + SKIP_DURATION;
+    context
+        .permits
+        .skipped
+        .borrow_mut()
+        .insert(coordinator, until);
     context.metrics.count_permit_timeout();
 }
 
-impl Waiter {
-    async fn heard(&self) {
-        // A stored notification may belong to a reply that was taken before.
+impl PendingReply {
+    async fn wait_for_reply(&self) {
+        // A stored notification may be for a reply that was taken before.
         while self.reply.borrow().is_none() {
-            self.told.notified().await;
+            self.received.notified().await;
         }
     }
 }
 
-/// Returns the member that holds a pool, of those that are not silent.
-fn holder(context: &Context, pool: &PoolKey) -> Option<SocketAddr> {
+/// Returns the member that coordinates a pool; skipped members do not count.
+fn find_coordinator(context: &Context, pool: &PoolKey) -> Option<SocketAddr> {
     let now = Instant::now();
-    let silent = context.permits.silent.borrow();
-    let open = |member: &SocketAddr| silent.get(member).is_none_or(|until| *until <= now);
+    let skipped = context.permits.skipped.borrow();
+    let is_eligible = |member: &SocketAddr| skipped.get(member).is_none_or(|until| *until <= now);
     let target = pool.1.as_deref().unwrap_or_default();
     let membership = context.membership.borrow();
-    membership.holder(&format!("{} {target}", pool.0), open)
+    membership.holder(&format!("{} {target}", pool.0), is_eligible)
 }
 
-/// Takes a datagram about permits.
+/// Handles a datagram about permits; other messages are ignored.
 pub fn handle_message(context: &Context, message: Message, from: SocketAddr) {
     match message {
         Message::Ask {
@@ -224,24 +233,26 @@
             tried,
         } => {
             let now = Instant::now();
-            let ask = PermitRequest {
+            let permit_request = PermitRequest {
                 priority: rank,
                 latency_goal: now + Duration::from_millis(goal),
                 deadline: now + Duration::from_millis(left),
                 data_centre,
                 excluded: tried,
             };
-            asked(context, (from, number), (service, target), ask);
+            handle_request(context, (from, number), (service, target), permit_request);
         }
         Message::Done {
             number,
             outcome,
             slowness,
-        } => returned(context, &(from, number), code_outcome(outcome), slowness),
-        Message::Granted { number, target } => told(context, number, PermitReply::Granted(target)),
-        Message::Queued { number } => told(context, number, PermitReply::Queued),
+        } => handle_return(context, &(from, number), decode_outcome(outcome), slowness),
+        Message::Granted { number, target } => {
+            store_reply(context, number, PermitReply::Granted(target))
+        }
+        Message::Queued { number } => store_reply(context, number, PermitReply::Queued),
         Message::Refused { number, wait } => {
-            told(
+            store_reply(
                 context,
                 number,
                 PermitReply::Refused(Duration::from_millis(wait)),
@@ -251,39 +262,47 @@
     }
 }
 
-fn told(context: &Context, number: u64, reply: PermitReply) {
-    let waiters = context.permits.waiters.borrow();
-    if let Some(waiter) = waiters.get(&number) {
-        *waiter.reply.borrow_mut() = Some(reply);
-        waiter.told.notify_one();
+/// Stores a reply for the task that waits for it.
+fn store_reply(context: &Context, number: u64, reply: PermitReply) {
+    let all = context.permits.pending_replies.borrow();
+    if let Some(pending) = all.get(&number) {
+        *pending.reply.borrow_mut() = Some(reply);
+        pending.received.notify_one();
     }
 }
 
-fn asked(context: &Context, asker: PermitRequestId<SocketAddr>, key: PoolKey, ask: PermitRequest) {
+/// Grants, queues or refuses a permit as coordinator.
+fn handle_request(
+    context: &Context,
+    id: PermitRequestId<SocketAddr>,
+    key: PoolKey,
+    permit_request: PermitRequest,
+) {
     let now = Instant::now();
-    let members = members(context, &key, now);
-    // Without a reply the asker turns to another member.
-    if members.is_empty() {
+    let targets = pool_targets(context, &key, now);
+    // Without a reply the requesting instance skips this one and turns to another member.
+    if targets.is_empty() {
         return;
     }
     let mut pools = context.permits.pools.borrow_mut();
     let pool = pools.entry(key.clone()).or_default();
-    pool.update_targets(&members, now);
-    let reply = pool.request_permit(asker, ask, now);
+    pool.update_targets(&targets, now);
+    let reply = pool.request_permit(id, permit_request, now);
     drop(pools);
     if !matches!(reply, PermitReply::Refused(_)) {
-        context.permits.askers.borrow_mut().insert(asker, key);
+        context.permits.requests.borrow_mut().insert(id, key);
     }
-    answer(context, asker, reply);
+    send_reply(context, id, reply);
 }
 
-fn returned(
+/// Frees the slot of a returned permit, or removes the request for it, and grants queued requests.
+fn handle_return(
     context: &Context,
-    asker: &PermitRequestId<SocketAddr>,
+    id: &PermitRequestId<SocketAddr>,
     outcome: PermitOutcome,
-    slowness: Option<f64>,
+    slowdown: Option<f64>,
 ) {
-    let Some(key) = context.permits.askers.borrow_mut().remove(asker) else {
+    let Some(key) = context.permits.requests.borrow_mut().remove(id) else {
         return;
     };
     let now = Instant::now();
@@ -291,64 +310,73 @@
     let Some(pool) = pools.get_mut(&key) else {
         return;
     };
-    pool.finish_request(asker, outcome, slowness, now);
+    pool.finish_request(id, outcome, slowdown, now);
     let replies = if pool.queue_length() > 0 {
         pool.process_queue(now)
     } else {
         Vec::new()
     };
     drop(pools);
-    send_all(context, replies);
+    send_replies(context, replies);
 }
 
-/// Returns the average times of the targets of divided services that this instance holds, in
-/// milliseconds.
+/// Returns the smoothed service times in milliseconds of the sharded services' targets whose pools
+/// this instance coordinates.
 pub fn service_times(context: &Context) -> BTreeMap<Name, u32> {
     let pools = context.permits.pools.borrow();
-    let paces = pools.iter().filter_map(|((_, target), pool)| {
+    let times = pools.iter().filter_map(|((_, target), pool)| {
         let target = target.as_ref()?;
-        let pace = pool.service_time(target)?;
-        Some((target.clone(), (1000.0 * pace) as u32))
+        let seconds = pool.service_time(target)?;
+        Some((target.clone(), (1000.0 * seconds) as u32))
     });
-    paces.collect()
+    times.collect()
 }
 
-/// Looks after those that wait, for ever.
+/// Processes the queues of the pools at intervals until the task is aborted.
 pub async fn process_queues(context: Rc<Context>) {
     loop {
-        let waiting = context
+        let has_queued = context
             .permits
             .pools
             .borrow()
             .values()
             .any(|it| it.queue_length() > 0);
-        // Without anyone waiting there is only old state to drop.
-        sleep(if waiting { TICK } else { 5 * TICK }).await;
+        // While nothing is queued, only expired permits have to be removed.
+        sleep(if has_queued {
+            QUEUE_POLL_INTERVAL
+        } else {
+            5 * QUEUE_POLL_INTERVAL
+        })
+        .await;
         let now = Instant::now();
         let mut replies = Vec::new();
         let mut pools = context.permits.pools.borrow_mut();
         for (key, pool) in pools.iter_mut().filter(|(_, pool)| !pool.is_idle()) {
-            pool.update_targets(&members(&context, key, now), now);
+            pool.update_targets(&pool_targets(&context, key, now), now);
             replies.extend(pool.process_queue(now));
         }
-        let mut askers = context.permits.askers.borrow_mut();
-        askers.retain(|asker, key| pools.get(key).is_some_and(|pool| pool.has_request(asker)));
-        drop(askers);
+        let mut requests = context.permits.requests.borrow_mut();
+        requests.retain(|id, key| pools.get(key).is_some_and(|pool| pool.has_request(id)));
+        drop(requests);
         drop(pools);
-        send_all(&context, replies);
+        send_replies(&context, replies);
     }
 }
 
-fn send_all(context: &Context, replies: Vec<(PermitRequestId<SocketAddr>, PermitReply)>) {
-    for (asker, reply) in replies {
+fn send_replies(context: &Context, replies: Vec<(PermitRequestId<SocketAddr>, PermitReply)>) {
+    for (id, reply) in replies {
         if matches!(reply, PermitReply::Refused(_)) {
-            context.permits.askers.borrow_mut().remove(&asker);
+            context.permits.requests.borrow_mut().remove(&id);
         }
-        answer(context, asker, reply);
+        send_reply(context, id, reply);
     }
 }
 
-fn answer(context: &Context, (address, number): PermitRequestId<SocketAddr>, reply: PermitReply) {
+fn send_reply(
+    context: &Context,
+    (address, number): PermitRequestId<SocketAddr>,
+    reply: PermitReply,
+) {
     let message = match reply {
         PermitReply::Granted(target) => Message::Granted { number, target },
         PermitReply::Queued => Message::Queued { number },
@@ -357,44 +385,45 @@
             wait: wait.as_millis() as u64,
         },
     };
-    tell(context, message, address);
+    send_message(context, message, address);
 }
 
-/// Sends a datagram, or takes it at once if it is for this instance.
-fn tell(context: &Context, message: Message, to: SocketAddr) {
+/// Sends a datagram, or handles the message directly if it is for this instance.
+fn send_message(context: &Context, message: Message, to: SocketAddr) {
     match to == context.settings.listen.heartbeats {
         true => handle_message(context, message, to),
         false => datagram::send_now(context, &message, to),
     }
 }
 
-/// Returns the targets of a pool that may be sent to.
-fn members(context: &Context, key: &PoolKey, now: Instant) -> BTreeMap<Name, PoolTarget> {
-    let (service, only) = key;
+/// Returns the targets of a pool that may get requests.
+fn pool_targets(context: &Context, key: &PoolKey, now: Instant) -> BTreeMap<Name, PoolTarget> {
+    let (service, owner) = key;
     let config = context.config.borrow();
     let config = config.as_ref().and_then(|it| it.services.get(service));
-    let rate = config.map_or(0.0, |it| it.cold_rate * COLD_SHARE);
+    let max_rate = config.map_or(0.0, |it| it.cold_rate * COLD_RATE_FACTOR);
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     targets
         .of(service)
-        .filter(|seen| match only {
-            // Whether the owner of keys may still be sent to is for the asker to say.
-            Some(only) => seen.target.id == *only,
-            None => seen.leaving.is_none() && !withdrawn.contains_key(&seen.target.data_centre),
+        .filter(|view| match owner {
+            // The requesting instance decides whether the owner of a key may still get requests.
+            Some(owner) => view.target.id == *owner,
+            None => view.leaving.is_none() && !withdrawn.contains_key(&view.target.data_centre),
         })
-        .map(|seen| {
-            let member = PoolTarget {
-                slots: seen.target.slots.min(1000) as u32,
-                data_centre: seen.target.data_centre.clone(),
-                cold_rate: seen.is_cold(now).then_some(rate),
+        .map(|view| {
+            let pool_target = PoolTarget {
+                slots: view.target.slots.min(1000) as u32,
+                data_centre: view.target.data_centre.clone(),
+                cold_rate: view.is_cold(now).then_some(max_rate),
             };
-            (seen.target.id.clone(), member)
+            (view.target.id.clone(), pool_target)
         })
         .collect()
 }
 
-fn outcome_code(outcome: PermitOutcome) -> u8 {
+/// Returns the outcome's number in datagrams.
+fn encode_outcome(outcome: PermitOutcome) -> u8 {
     match outcome {
         PermitOutcome::Served => 0,
         PermitOutcome::Shed => 1,
@@ -404,7 +433,8 @@
     }
 }
 
-fn code_outcome(code: u8) -> PermitOutcome {
+/// Returns the outcome with a number in datagrams; unknown ones count as [`PermitOutcome::Broken`].
+fn decode_outcome(code: u8) -> PermitOutcome {
     match code {
         0 => PermitOutcome::Served,
         1 => PermitOutcome::Shed,
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole.
+//! Reading and validation of callers' requests.
 
 use {
     crate::context::Context,
@@ -12,54 +12,54 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A request as it is passed on.
+/// A caller's request with its whole body, as it is forwarded.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Id that the caller gave it.
+    /// Request id that the caller chose.
     pub id: HeaderValue,
-    /// Route.
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Service that this request goes to.
+    /// Service chosen among those of the route.
     pub service: Name,
-    /// Key, if the service is divided.
+    /// Shard key; `None` if the service is not sharded.
     pub key: Option<u16>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Time of the arrival of its head.
+    /// When the request's head had been read.
     pub arrived: Instant,
-    /// Time by which the caller gets an answer.
+    /// Time by which the caller needs the response.
     pub deadline: Instant,
 }
 
-/// A request that is not valid, or that cannot be routed.
+/// Why a request cannot be read or routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadRequest {
-    /// No configuration is known yet.
+    /// This instance has not read a configuration yet.
     NoConfig,
     /// No route matches.
     NoRoute,
-    /// The request has no id.
+    /// The request id is missing.
     MissingId,
-    /// The key is not a number from 0 to 65535, or is missing.
+    /// The shard key is missing or not a number from 0 to 65535.
     InvalidKey(String),
     /// The deadline is not a number of milliseconds.
     InvalidDeadline,
-    /// The body is longer than the limit.
+    /// The body exceeds the size limit.
     BodyTooLong,
-    /// The body ended early.
+    /// The connection failed before the end of the body.
     BodyTruncated,
-    /// The body was not whole by the deadline.
+    /// The body was incomplete at the deadline.
     BodyTimeout,
 }
 
 impl BadRequest {
-    /// Returns the status of the answer.
+    /// Returns the status code of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::NoConfig => StatusCode::SERVICE_UNAVAILABLE,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns a short text for the answer and the log.
+    /// Returns the text for the response body and the log.
     pub fn message(&self) -> &'static str {
         match self {
             Self::NoConfig => "no configuration yet",
@@ -87,10 +87,10 @@
     }
 }
 
-/// Reads a request whole.
+/// Reads the whole request, finds its route and chooses its service.
 ///
 /// # Errors
-/// Says what is not valid.
+/// Fails if the request is not valid, matches no route, or is not complete by its deadline.
 pub async fn read_request(
     context: &Context,
     parts: Parts,
@@ -99,25 +99,25 @@
 ) -> Result<CallerRequest, BadRequest> {
     let config = context.config.borrow().clone();
     let config = config.ok_or(BadRequest::NoConfig)?;
-    let route = find(context, &parts).ok_or(BadRequest::NoRoute)?;
+    let route = find_route(context, &parts).ok_or(BadRequest::NoRoute)?;
     let id = parts.headers.get(&headers::REQUEST_ID).cloned();
     let id = id.ok_or(BadRequest::MissingId)?;
-    let deadline = arrived + patience(&parts.headers, &route)?;
-    let service = service(context, &route).ok_or(BadRequest::NoRoute)?;
-    let divided = config.services.get(&service).is_some_and(|it| it.sharded);
+    let deadline = arrived + parse_timeout(&parts.headers, &route)?;
+    let service = choose_service(context, &route).ok_or(BadRequest::NoRoute)?;
+    let is_sharded = config.services.get(&service).is_some_and(|it| it.sharded);
     let key = headers::parse_shard_key(&parts.headers).map_err(BadRequest::InvalidKey)?;
-    if divided && key.is_none() {
+    if is_sharded && key.is_none() {
         return Err(BadRequest::InvalidKey(String::new()));
     }
-    let body = whole(body, config.limits.body_bytes, deadline).await?;
+    let body = read_body(body, config.limits.body_bytes, deadline).await?;
     let path = parts.uri.path_and_query();
     Ok(CallerRequest {
         id,
         service,
-        key: key.filter(|_| divided),
+        key: key.filter(|_| is_sharded),
         method: parts.method,
         path: path.map_or_else(|| "/".to_owned(), ToString::to_string),
-        headers: passed_on(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
         arrived,
         deadline,
@@ -125,14 +125,14 @@
     })
 }
 
-fn find(context: &Context, parts: &Parts) -> Option<Rc<Route>> {
-    let named = headers::get_str(&parts.headers, &header::HOST);
-    let host = named.or_else(|| parts.uri.host())?;
+fn find_route(context: &Context, parts: &Parts) -> Option<Rc<Route>> {
+    let host_header = headers::get_str(&parts.headers, &header::HOST);
+    let host = host_header.or_else(|| parts.uri.host())?;
     context.routes.borrow().find_route(host, parts.uri.path())
 }
 
-/// Returns the time that the caller waits, at most that of the route.
-fn patience(all: &HeaderMap, route: &Route) -> Result<Duration, BadRequest> {
+/// Returns the caller's timeout, at most that of the route.
+fn parse_timeout(all: &HeaderMap, route: &Route) -> Result<Duration, BadRequest> {
     let Some(text) = headers::get_str(all, &headers::DEADLINE) else {
         return Ok(route.timeout);
     };
@@ -143,21 +143,25 @@
     Ok(Duration::from_millis(millis).min(route.timeout))
 }
 
-/// Chooses the service of the next request on a route, by weight.
-fn service(context: &Context, route: &Route) -> Option<Name> {
+/// Chooses the service of the next request on a route by weight; `None` if all weights are 0.
+fn choose_service(context: &Context, route: &Route) -> Option<Name> {
     if let [(only, _)] = route.traffic_split.as_slice() {
         return Some(only.clone());
     }
-    let mut dealers = context.splitters.borrow_mut();
-    let dealer = dealers
+    let mut by_route = context.splitters.borrow_mut();
+    let splitter = by_route
         .entry(route.name.clone())
         .or_insert_with(|| cowslip_decide::traffic_split::TrafficSplitter::new(rand::random()));
-    let at = dealer.next_index(route.traffic_split.iter().map(|(_, weight)| *weight))?;
-    Some(route.traffic_split[at].0.clone())
+    let index = splitter.next_index(route.traffic_split.iter().map(|(_, weight)| *weight))?;
+    Some(route.traffic_split[index].0.clone())
 }
 
-async fn whole(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, BadRequest> {
-    match timeout_at(deadline, Limited::new(body, most).collect()).await {
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Instant,
+) -> Result<Bytes, BadRequest> {
+    match timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::BodyTooLong),
         Ok(Err(_)) => Err(BadRequest::BodyTruncated),
@@ -165,11 +169,11 @@
     }
 }
 
-/// Returns the headers that go on to the target; the length is set anew with the whole body.
-fn passed_on(all: &HeaderMap) -> HeaderMap {
-    let mut passed = headers::copy_end_to_end(all);
-    passed.remove(header::CONTENT_LENGTH);
-    passed.remove(header::EXPECT);
-    passed.remove(&headers::REQUIRED_TARGET);
-    passed
+/// Returns the headers to forward; `content-length` is set again from the body that was read.
+fn forwarded_headers(all: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers::copy_end_to_end(all);
+    forwarded.remove(header::CONTENT_LENGTH);
+    forwarded.remove(header::EXPECT);
+    forwarded.remove(&headers::REQUIRED_TARGET);
+    forwarded
 }
--- a/crates/cowslipcross/src/serve/routes.rs
+++ b/crates/cowslipcross/src/serve/routes.rs
@@ -1,4 +1,4 @@
-//! The route of a request: its host, then the longest prefix of its path.
+//! Routing of requests by host and longest matching path prefix.
 
 use {
     cowslip_adapter::config::{Config, Route},
@@ -6,7 +6,7 @@
     std::{collections::BTreeMap, rc::Rc},
 };
 
-/// Routes by host; those with longer prefixes come first.
+/// Routes by host, sorted from the longest path prefix to the shortest.
 #[derive(Debug, Default)]
 pub struct Routes {
     hosts: BTreeMap<Name, Vec<Rc<Route>>>,
@@ -27,7 +27,7 @@
 }
 
 impl Routes {
-    /// Returns the route of a request to `path` at `host`, which may name a port.
+    /// Returns the route for a host, with or without a port, and a path; `None` if none matches.
     pub fn find_route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(name.to_ascii_lowercase().as_str())?;
--- a/crates/cowslipcross/src/serve/server.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -1,14 +1,14 @@
-//! Callers' connections and the requests on them.
+//! HTTP server for callers: accepts connections and handles the requests on them.
 
 use {
     crate::{
         context::Context,
         events::{self, EventFields},
         serve::{
+            caller_response::{self, RequestOutcome, ResponseBody},
             counter_guard::CounterGuard,
             forward::forward_request,
             request::{self, BadRequest, CallerRequest},
-            response::{self, RequestOutcome, ResponseBody},
         },
     },
     cowslip_adapter::headers,
@@ -33,84 +33,96 @@
     },
 };
 
-/// Pause after a connection could not be accepted, for want of descriptors for example.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes of a head that the library needs at least.
-const LEAST_HEAD: usize = 8 << 10;
+/// Delay before the next connection is accepted after one could not be, for example because no file
+/// descriptor was free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Smallest read buffer that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Open connections of callers.
 #[derive(Clone, Default)]
-pub struct CallerConnections(Rc<Shared>);
+pub struct CallerConnections(Rc<ConnectionState>);
 
-struct Shared {
-    count: Cell<usize>,
-    close: RefCell<watch::Sender<bool>>,
+struct ConnectionState {
+    open_count: Cell<usize>,
+    close_signal: RefCell<watch::Sender<bool>>,
 }
 
-impl Default for Shared {
+impl Default for ConnectionState {
     fn default() -> Self {
         Self {
-            count: Cell::new(0),
-            close: RefCell::new(watch::channel(false).0),
+            open_count: Cell::new(0),
+            close_signal: RefCell::new(watch::channel(false).0),
         }
     }
 }
 
 impl CallerConnections {
-    /// Returns how many are open.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
-        self.0.count.get()
+        self.0.open_count.get()
     }
 
-    /// Closes each as soon as no request is on it.
+    /// Closes each connection as soon as it has no request in progress.
     pub fn close_idle(&self) {
-        self.0.close.borrow().send_replace(true);
+        self.0.close_signal.borrow().send_replace(true);
     }
 }
 
-/// Accepts connections for ever.
+/// Accepts callers' connections until the task is aborted.
 pub async fn accept_connections(
     context: Rc<Context>,
     listener: TcpListener,
-    conns: CallerConnections,
+    open_connections: CallerConnections,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(spawn_local(serve(context.clone(), stream, conns.clone()))),
+            Ok((stream, _)) => drop(spawn_local(handle_connection(
+                context.clone(),
+                stream,
+                open_connections.clone(),
+            ))),
             Err(error) => {
                 context.record_event(events::CONNECTION_REFUSED, error.to_string());
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one connection until it ends, or until it is idle during a stop.
-async fn serve(context: Rc<Context>, stream: TcpStream, conns: CallerConnections) {
+/// Serves one connection until it ends, or until it is idle after [`CallerConnections::close_idle`].
+async fn handle_connection(
+    context: Rc<Context>,
+    stream: TcpStream,
+    open_connections: CallerConnections,
+) {
     if let Err(error) = stream.set_nodelay(true) {
         context.record_event(events::CONNECTION_REFUSED, error.to_string());
         return;
     }
-    conns.0.count.set(conns.open_count() + 1);
-    let mut close = conns.0.close.borrow().subscribe();
+    open_connections
+        .0
+        .open_count
+        .set(open_connections.open_count() + 1);
+    let mut close_receiver = open_connections.0.close_signal.borrow().subscribe();
     let config = context.config.borrow().clone();
     let limits = config.map(|it| it.limits.clone()).unwrap_or_default();
     let service = service_fn(|request| {
         let context = context.clone();
-        async move { Ok::<_, Infallible>(handle(context, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(context, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let mut closing = pin!(close.wait_for(|close| *close));
-    let mut told = false;
-    // The end of a connection, whatever its cause, needs nothing but its place.
+    let mut close_requested = pin!(close_receiver.wait_for(|close| *close));
+    let mut is_closing = false;
+    // An error of the connection needs no handling beyond the count of open connections.
     let _ = poll_fn(|task| {
-        if !told && closing.as_mut().poll(task).is_ready() {
-            told = true;
+        if !is_closing && close_requested.as_mut().poll(task).is_ready() {
+            is_closing = true;
             connection.as_mut().graceful_shutdown();
         }
         match connection.as_mut().poll(task) {
@@ -119,18 +131,24 @@
         }
     })
     .await;
-    conns.0.count.set(conns.open_count().saturating_sub(1));
+    open_connections
+        .0
+        .open_count
+        .set(open_connections.open_count().saturating_sub(1));
 }
 
-/// Answers one request.
-async fn handle(context: Rc<Context>, request: http::Request<Incoming>) -> Response<ResponseBody> {
+/// Returns the response to one request.
+async fn handle_request(
+    context: Rc<Context>,
+    request: http::Request<Incoming>,
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let _active = CounterGuard::new(&context.active_requests);
     let (parts, body) = request.into_parts();
     let id = parts.headers.get(&headers::REQUEST_ID).cloned();
     let mut response = match request::read_request(&context, parts, body, arrived).await {
-        Ok(request) => answered(&context, Rc::new(request)).await,
-        Err(bad) => refused(&context, &bad, id),
+        Ok(request) => forward(&context, Rc::new(request)).await,
+        Err(bad) => reject(&context, &bad, id),
     };
     if context.stopping_since.get().is_some() {
         let close = HeaderValue::from_static("close");
@@ -139,57 +157,60 @@
     response
 }
 
-async fn answered(context: &Rc<Context>, request: Rc<CallerRequest>) -> Response<ResponseBody> {
+async fn forward(context: &Rc<Context>, request: Rc<CallerRequest>) -> Response<ResponseBody> {
     count_key(context, &request);
-    let answer = forward_request(context.clone(), request.clone()).await;
-    let left = request.deadline.saturating_duration_since(Instant::now());
-    note(context, &request, &answer);
-    answer.into_response(&request.id, left)
+    let outcome = forward_request(context.clone(), request.clone()).await;
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
+    record_outcome(context, &request, &outcome);
+    outcome.into_response(&request.id, remaining)
 }
 
-fn refused(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<ResponseBody> {
+fn reject(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<ResponseBody> {
     context.metrics.count_bad_request(bad);
-    let about = EventFields {
+    let fields = EventFields {
         request: id.as_ref().and_then(|id| id.to_str().ok()).map(Name::from),
         detail: Some(format!("{}: {}", bad.status(), bad.message())),
         ..EventFields::default()
     };
-    context.events.record(events::BAD_REQUEST, about);
-    let mut response = response::bad_request_response(bad);
+    context.events.record(events::BAD_REQUEST, fields);
+    let mut response = caller_response::bad_request_response(bad);
     if let Some(id) = id {
         response.headers_mut().insert(headers::REQUEST_ID, id);
     }
     response
 }
 
-/// Counts the key for the leader, which spreads keys by their load.
+/// Counts a request for its key; the leader assigns keys to targets by these counts.
 fn count_key(context: &Context, request: &CallerRequest) {
     if let Some(key) = request.key {
-        let mut sample = context.key_counts.borrow_mut();
-        let keys = sample.entry(request.service.clone()).or_default();
+        let mut counts = context.key_counts.borrow_mut();
+        let keys = counts.entry(request.service.clone()).or_default();
         *keys.entry(key).or_default() += 1;
     }
 }
 
-fn note(context: &Context, request: &CallerRequest, answer: &RequestOutcome) {
-    let time = request.arrived.elapsed();
-    context.metrics.count_response(&request.route, answer, time);
-    let Some(reason) = answer.reason() else {
+/// Counts the response and records an event if it is not a target's.
+fn record_outcome(context: &Context, request: &CallerRequest, outcome: &RequestOutcome) {
+    let response_time = request.arrived.elapsed();
+    context
+        .metrics
+        .count_response(&request.route, outcome, response_time);
+    let Some(reason) = outcome.reason() else {
         return;
     };
-    let about = EventFields {
+    let fields = EventFields {
         request: request.id.to_str().ok().map(Name::from),
         key: request.key.map(|key| key.to_string().into()),
         detail: Some(format!(
             "{}, {}, route {}, service {}, after {} ms, {}",
-            answer.verdict(),
+            outcome.verdict(),
             reason.as_str(),
             request.route.name,
             request.service,
-            time.as_millis(),
+            response_time.as_millis(),
             context.describe_views(&request.service)
         )),
         ..EventFields::default()
     };
-    context.events.record(events::UNSERVED, about);
+    context.events.record(events::UNSERVED, fields);
 }
--- a/crates/cowslipcross/src/serve/target_connections.rs
+++ b/crates/cowslipcross/src/serve/target_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to one run of a target, and what its answers told.
+//! Connections to one incarnation of a target, and the load that its responses reported.
 
 use {
     crate::serve::exchange::RequestBody,
@@ -20,55 +20,56 @@
     },
 };
 
-/// Longest time for a connection to open.
-const OPENING: Duration = Duration::from_millis(350);
-/// Time after which bytes that nobody acknowledged end the connection: it has gone silent.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(700);
-/// Idle time after which a connection is not used again, where the target names none.
-const IDLE: Duration = Duration::from_secs(7);
-/// Part of the target's own idle time for which a connection is used again.
-const IDLE_SHARE: f64 = 0.7;
-/// Time for which a target that took no connection is avoided.
-const AVOIDED: Duration = Duration::from_millis(800);
-
-/// An open connection; it closes when this is dropped.
+/// Longest time for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time without acknowledgement of sent data after which TCP closes the connection, as the target
+/// does not answer any more.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Idle time after which a connection is not reused if the target sent no `keep-alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(7);
+/// Part of the target's `keep-alive` timeout for which an idle connection is reused.
+const IDLE_TIMEOUT_FACTOR: f64 = 0.7;
+/// Time for which a target is avoided after a connection to it could not be opened.
+const AVOID_DURATION: Duration = Duration::from_millis(800);
+
+/// An open connection; closed on drop.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<RequestBody>,
     driver: JoinHandle<()>,
-    idle: Duration,
-    since: Instant,
+    idle_timeout: Duration,
+    idle_since: Instant,
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// The target has as many connections of this instance as it may have.
+    /// This instance has as many connections to the target as it may have.
     LimitReached,
-    /// The target did not take it.
+    /// The connection could not be opened.
     Failed,
 }
 
-/// The connections to one run of a target.
+/// Connections to one incarnation of a target.
 #[derive(Debug)]
 pub struct TargetConnections {
-    /// Address.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Run of the target.
+    /// Incarnation of the target.
     pub incarnation: u64,
-    /// Requests of this instance at the target.
-    pub in_flight: Cell<u32>,
-    /// Load that the target told last, and when.
+    /// This instance's requests in progress at the target.
+    pub active_requests: Cell<u32>,
+    /// Load that the target reported last, and when.
     pub load: Cell<Option<(Load, Instant)>>,
-    /// Average time of its answers.
+    /// Smoothed service time of the target.
     pub service_time: Cell<ServiceTime>,
-    /// Limit of this instance while the target is cold.
+    /// Limits this instance's requests while the target is cold.
     pub cold_tokens: RefCell<TokenBucket>,
-    /// Until when the target is avoided.
+    /// End of the time for which the target is avoided.
     pub avoid_until: Cell<Option<Instant>>,
     idle: RefCell<Vec<Connection>>,
-    open: Cell<u32>,
+    open_count: Cell<u32>,
 }
 
 impl Drop for Connection {
@@ -78,109 +79,110 @@
 }
 
 impl TargetConnections {
-    /// Creates a line without connections.
+    /// Creates the state for a target without opening a connection.
     pub fn new(target: &TargetReport, now: Instant) -> Self {
         Self {
             address: target.address,
             incarnation: target.incarnation,
-            in_flight: Cell::new(0),
+            active_requests: Cell::new(0),
             load: Cell::new(None),
             service_time: Cell::default(),
             cold_tokens: RefCell::new(TokenBucket::new(rand::random(), now)),
             avoid_until: Cell::new(None),
             idle: RefCell::default(),
-            open: Cell::new(0),
+            open_count: Cell::new(0),
         }
     }
 
-    /// Returns whether it leads to this run of the target.
+    /// Returns whether the connections lead to the reported incarnation and address of the target.
     pub fn is_for(&self, target: &TargetReport) -> bool {
         self.address == target.address && self.incarnation == target.incarnation
     }
 
-    /// Returns whether the target took no connection of late.
+    /// Returns whether a connection to the target failed to open a moment ago.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_until.get().is_some_and(|until| until > now)
     }
 
-    /// Takes an idle connection that is still good.
+    /// Drops idle connections that are closed or too old, and returns one of the others.
     pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
-        idle.retain(|link| {
-            let good = !link.sender.is_closed() && now - link.since < link.idle;
-            if !good {
-                self.open.set(self.open.get().saturating_sub(1));
+        idle.retain(|connection| {
+            let is_usable = !connection.sender.is_closed()
+                && now - connection.idle_since < connection.idle_timeout;
+            if !is_usable {
+                self.open_count.set(self.open_count.get().saturating_sub(1));
             }
-            good
+            is_usable
         });
         idle.pop()
     }
 
-    /// Opens a connection if there are fewer than `most`.
+    /// Opens a connection if fewer than `max_connections` are open.
     ///
     /// # Errors
-    /// Says whether the target failed to take it.
-    pub async fn open(&self, most: u32) -> Result<Connection, ConnectError> {
-        if self.open.get() >= most {
+    /// Fails if the limit is reached or the connection could not be opened.
+    pub async fn open(&self, max_connections: u32) -> Result<Connection, ConnectError> {
+        if self.open_count.get() >= max_connections {
             return Err(ConnectError::LimitReached);
         }
-        self.open.set(self.open.get() + 1);
-        let opened = timeout(OPENING, connect(self.address)).await;
+        self.open_count.set(self.open_count.get() + 1);
+        let opened = timeout(CONNECT_TIMEOUT, connect(self.address)).await;
         match opened {
-            Ok(Ok(link)) => {
+            Ok(Ok(connection)) => {
                 self.avoid_until.set(None);
-                Ok(link)
+                Ok(connection)
             }
             _ => {
                 self.count_closed();
-                self.avoid_until.set(Some(Instant::now() + AVOIDED));
+                self.avoid_until.set(Some(Instant::now() + AVOID_DURATION));
                 Err(ConnectError::Failed)
             }
         }
     }
 
-    /// Takes a connection back whose answer was whole.
-    pub fn return_idle(&self, mut link: Connection, limit: Option<Duration>) {
-        if let Some(limit) = limit {
-            link.idle = limit.mul_f64(IDLE_SHARE);
+    /// Keeps a connection for reuse; `keep_alive` is the idle timeout that the target sent.
+    pub fn return_idle(&self, mut connection: Connection, keep_alive: Option<Duration>) {
+        if let Some(keep_alive) = keep_alive {
+            connection.idle_timeout = keep_alive.mul_f64(IDLE_TIMEOUT_FACTOR);
         }
-        link.since = Instant::now();
-        self.idle.borrow_mut().push(link);
+        connection.idle_since = Instant::now();
+        self.idle.borrow_mut().push(connection);
     }
 
-    /// Counts the end of a connection that is not kept.
+    /// Removes a closed connection from the count of open ones.
     pub fn count_closed(&self) {
-        self.open.set(self.open.get().saturating_sub(1));
+        self.open_count.set(self.open_count.get().saturating_sub(1));
     }
 
-    /// Returns how slow the target's last answer told it to be; 1 is as usual.
+    /// Returns the slowdown that the target reported last, 1 being none; `None` before a report.
     pub fn slowdown(&self) -> Option<f64> {
         let (load, _) = self.load.get()?;
         Some(f64::from(load.slowdown_percent) / 100.0)
     }
 
-    /// Takes the time of an answer.
+    /// Adds the time of a response to the smoothed service time.
     pub fn record_service_time(&self, time: Duration) {
-        let mut pace = self.service_time.get();
-        pace.record(time);
-        self.service_time.set(pace);
+        let mut service_time = self.service_time.get();
+        service_time.record(time);
+        self.service_time.set(service_time);
     }
 }
 
 async fn connect(address: SocketAddr) -> io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     let (sender, driver) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(io::Error::other)?;
-    // The sender tells of the end of the connection.
+    // An error of the connection is also reported by the sender.
     let driver = spawn_local(async move { drop(driver.await) });
     Ok(Connection {
         sender,
         driver,
-        idle: IDLE,
-        since: Instant::now(),
+        idle_timeout: DEFAULT_IDLE_TIMEOUT,
+        idle_since: Instant::now(),
     })
 }
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -1,4 +1,4 @@
-//! The target of the next attempt.
+//! Selection of the target for the next attempt of a request.
 
 use {
     crate::{
@@ -15,34 +15,36 @@
     tokio::time::Instant,
 };
 
-/// Time for which the owner of a key takes requests after it is known to leave.
-const OWNER_LEAVING: Duration = Duration::from_millis(500);
-/// Part of the bound of a withdrawal for which owners in the data centre take requests.
-const OWNER_WITHDRAWN: f64 = 0.4;
-/// Age at which a reported load says nothing any more.
-const LOAD_AGE: Duration = Duration::from_millis(400);
-/// Slots of a target that has told none.
-const UNKNOWN_SLOTS: u32 = 2;
-/// Factor that spreads requests over equal targets.
-const LUCK: RangeInclusive<f64> = 0.9..=1.1;
-/// Time between two looks at something that should change soon.
-const LOOK: Duration = Duration::from_millis(150);
-/// Part of a cold target's rate that all instances use together.
-const COLD_SHARE: f64 = 0.9;
+/// Time for which a draining owner still gets requests for its keys.
+const OWNER_DRAIN_TIME: Duration = Duration::from_millis(500);
+/// Part of the withdrawal bound for which owners in a withdrawn data centre still get requests.
+const OWNER_WITHDRAWAL_FACTOR: f64 = 0.4;
+/// Time constant with which the number of requests in a load report decays.
+const LOAD_DECAY_TIME: Duration = Duration::from_millis(400);
+/// Slots assumed of a target that has not reported its load.
+const ASSUMED_SLOTS: u32 = 2;
+/// Random factor on expected response times, so that equal targets get equal parts.
+const COST_JITTER: RangeInclusive<f64> = 0.9..=1.1;
+/// Time after which a target is selected again when configuration, owners or targets have not
+/// changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Part of a cold target's rate that all instances together use without permits; below 1 as each
+/// instance counts only its own requests.
+const COLD_RATE_FACTOR: f64 = 0.9;
 
-/// What follows for a request.
+/// What to do with a request next.
 pub enum Selection {
     /// Send it to the owner of its key.
     Owner(Rc<TargetConnections>, Name),
     /// Send it to any target of its service.
     AnyTarget,
-    /// Wait for a change, but not longer than this.
+    /// Wait until the routing data change, at most for this time.
     Wait(Duration),
-    /// No target can take it before this time has passed.
+    /// Refuse it; a retry may succeed after this time.
     Refuse(Duration),
 }
 
-/// Returns where the next attempt may go.
+/// Selects the target of the next attempt by the current configuration, owners and targets.
 pub fn select_target(context: &Context, request: &CallerRequest) -> Selection {
     let now = Instant::now();
     let config = context.config.borrow().clone();
@@ -50,18 +52,18 @@
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let Some(service) = service else {
-        return Selection::Refuse(LOOK);
+        return Selection::Refuse(POLL_INTERVAL);
     };
     let targets = context.targets.borrow().clone();
     match request.key {
-        Some(key) => owner(context, request, (&targets, key), now),
-        None if service.sharded => Selection::Refuse(LOOK),
+        Some(key) => select_owner(context, request, (&targets, key), now),
+        None if service.sharded => Selection::Refuse(POLL_INTERVAL),
         None => Selection::AnyTarget,
     }
 }
 
-/// Chooses the owner of a key.
-fn owner(
+/// Selects the owner of a key, or a wait while the key has no owner that takes requests.
+fn select_owner(
     context: &Context,
     request: &CallerRequest,
     (targets, key): (&Targets, u16),
@@ -69,53 +71,56 @@
 ) -> Selection {
     let owners = context.owners.borrow();
     let Some(owners) = owners.get(&request.service) else {
-        return Selection::Wait(LOOK);
+        return Selection::Wait(POLL_INTERVAL);
     };
-    let piece = owners.table.assignment(key);
-    if let Some(wait) = context
-        .blocked_keys
-        .borrow()
-        .remaining_wait(&request.service, piece, now)
+    let assigned = owners.table.assignment(key);
+    if let Some(wait) =
+        context
+            .blocked_keys
+            .borrow()
+            .remaining_wait(&request.service, assigned, now)
     {
         return Selection::Wait(wait);
     }
-    let Some(life) = piece.owner.as_ref() else {
-        return Selection::Wait(LOOK);
+    let Some(owner_incarnation) = assigned.owner.as_ref() else {
+        return Selection::Wait(POLL_INTERVAL);
     };
-    let Some(seen) = targets
-        .get(&life.id)
-        .filter(|it| it.target.incarnation == life.incarnation)
+    let Some(view) = targets
+        .get(&owner_incarnation.id)
+        .filter(|it| it.target.incarnation == owner_incarnation.incarnation)
     else {
-        return Selection::Wait(LOOK);
+        return Selection::Wait(POLL_INTERVAL);
     };
-    let left = |since: Instant| now - since > OWNER_LEAVING;
-    if seen.leaving.is_some_and(left) || is_withdrawn(context, seen, now, OWNER_WITHDRAWN) {
-        return Selection::Wait(LOOK);
+    let drained = |since: Instant| now - since > OWNER_DRAIN_TIME;
+    if view.leaving.is_some_and(drained)
+        || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
+    {
+        return Selection::Wait(POLL_INTERVAL);
     }
-    Selection::Owner(line(context, seen, now), seen.target.id.clone())
+    Selection::Owner(connections_to(context, view, now), view.target.id.clone())
 }
 
-/// Returns the connections to a target of an undivided service, if this instance may send to it.
+/// Returns the connections to a target of an unsharded service; `None` if it may get no new work.
 ///
-/// The holder that chose it may know less than this instance of who leaves.
+/// The coordinator that chose the target may not know yet that it is draining or withdrawn.
 pub fn open_connections(context: &Context, target: &Name) -> Option<Rc<TargetConnections>> {
     let now = Instant::now();
     let targets = context.targets.borrow();
-    let seen = targets
+    let view = targets
         .get(target)
-        .filter(|seen| is_open(context, seen, now))?;
-    Some(line(context, seen, now))
+        .filter(|view| is_available(context, view, now))?;
+    Some(connections_to(context, view, now))
 }
 
-/// Returns whether a target of an undivided service may get new work.
-fn is_open(context: &Context, seen: &Seen, now: Instant) -> bool {
-    seen.leaving.is_none() && !is_withdrawn(context, seen, now, 0.0)
+/// Returns whether a target of an unsharded service may get new work.
+fn is_available(context: &Context, view: &Seen, now: Instant) -> bool {
+    view.leaving.is_none() && !is_withdrawn(context, view, now, 0.0)
 }
 
-/// Takes the part of a cold target's rate that is this instance's without a permit.
+/// Takes a token of this instance's share of a cold target's rate; a warm target needs none.
 ///
 /// # Errors
-/// Returns when to come back.
+/// Returns the time until the next token if there is none.
 pub fn take_cold_token(
     context: &Context,
     request: &CallerRequest,
@@ -127,103 +132,109 @@
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let targets = context.targets.borrow();
-    let cold = targets.get(target).filter(|seen| seen.is_cold(now));
+    let cold = targets.get(target).filter(|view| view.is_cold(now));
     match (service, cold) {
-        (Some(service), Some(seen)) => {
-            try_take_cold_token(context, service, &line(context, seen, now), now)
+        (Some(service), Some(view)) => {
+            try_take_token(context, service, &connections_to(context, view, now), now)
         }
         _ => Ok(()),
     }
 }
 
-/// Chooses among the targets of an undivided service without a permit; `tried` did not serve it.
+/// Selects a target of an unsharded service without a permit, except those in `excluded`.
+///
+/// Warm targets are preferred, by expected response time; cold ones are limited in their rate.
 ///
 /// # Errors
-/// Returns when to come back.
+/// Returns the time after which a retry may succeed if no target may get the request now.
 pub fn select_without_permit(
     context: &Context,
     request: &CallerRequest,
-    tried: &[Name],
+    excluded: &[Name],
 ) -> Result<(Rc<TargetConnections>, Name), Duration> {
     let now = Instant::now();
     let targets = context.targets.borrow().clone();
-    let open: Vec<&Seen> = targets
+    let available: Vec<&Seen> = targets
         .of(&request.service)
-        .filter(|seen| is_open(context, seen, now))
-        .filter(|seen| !tried.contains(&seen.target.id))
+        .filter(|view| is_available(context, view, now))
+        .filter(|view| !excluded.contains(&view.target.id))
         .collect();
-    let warm = open.iter().filter(|seen| !seen.is_cold(now));
+    let warm = available.iter().filter(|view| !view.is_cold(now));
     let best = warm
-        .map(|seen| {
-            let line = line(context, seen, now);
-            let near = seen.target.data_centre == context.settings.data_centre;
-            let cost = (line.is_avoided(now), time(&line, near, now));
-            (line, seen, cost)
+        .map(|view| {
+            let connections = connections_to(context, view, now);
+            let is_nearby = view.target.data_centre == context.settings.data_centre;
+            let cost = (
+                connections.is_avoided(now),
+                expected_seconds(&connections, is_nearby, now),
+            );
+            (connections, view, cost)
         })
         .min_by(|(_, _, a), (_, _, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    if let Some((line, seen, _)) = best {
-        return Ok((line, seen.target.id.clone()));
+    if let Some((connections, view, _)) = best {
+        return Ok((connections, view.target.id.clone()));
     }
-    let mut wait = LOOK;
-    for seen in open {
-        match take_cold_token(context, request, &seen.target.id) {
-            Ok(()) => return Ok((line(context, seen, now), seen.target.id.clone())),
-            Err(time) => wait = time,
+    let mut retry_after = POLL_INTERVAL;
+    for view in available {
+        match take_cold_token(context, request, &view.target.id) {
+            Ok(()) => return Ok((connections_to(context, view, now), view.target.id.clone())),
+            Err(wait) => retry_after = wait,
         }
     }
-    Err(wait)
+    Err(retry_after)
 }
 
-/// Returns the time that a request would likely take at a target, in seconds.
-fn time(line: &TargetConnections, near: bool, now: Instant) -> f64 {
-    let told = line.load.get().map(|(load, at)| {
-        let age = (now - at).as_secs_f64() / LOAD_AGE.as_secs_f64();
+/// Estimates a target's response time to another request, in seconds.
+fn expected_seconds(connections: &TargetConnections, is_nearby: bool, now: Instant) -> f64 {
+    let reported = connections.load.get().map(|(load, reported_at)| {
+        let age = (now - reported_at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
         let requests = f64::from(load.running + load.waiting) * (-age).exp();
         (requests, load.slots)
     });
-    let (requests, slots) = told.unwrap_or((0.0, UNKNOWN_SLOTS));
-    let outlook = TargetEstimate {
-        service_time: line
+    let (requests, slots) = reported.unwrap_or((0.0, ASSUMED_SLOTS));
+    let estimate = TargetEstimate {
+        service_time: connections
             .service_time
             .get()
             .seconds()
             .unwrap_or(service_time::DEFAULT_SERVICE_TIME_S),
-        in_flight: requests.max(f64::from(line.in_flight.get())),
+        in_flight: requests.max(f64::from(connections.active_requests.get())),
         slots,
         slowdown: 1.0,
-        is_local: near,
+        is_local: is_nearby,
     };
-    // Equal targets get equal parts.
-    outlook.response_time() * rand::random_range(LUCK)
+    estimate.response_time() * rand::random_range(COST_JITTER)
 }
 
-/// Takes this instance's part of the rate that a cold target bears.
-fn try_take_cold_token(
+/// Takes a token of this instance's share of a cold target's rate.
+fn try_take_token(
     context: &Context,
     service: &Service,
-    line: &TargetConnections,
+    connections: &TargetConnections,
     now: Instant,
 ) -> Result<(), Duration> {
-    let rate = service.cold_rate * COLD_SHARE / f64::from(context.instance_count.get().max(1));
-    line.cold_tokens.borrow_mut().try_take(rate, now)
+    let rate =
+        service.cold_rate * COLD_RATE_FACTOR / f64::from(context.instance_count.get().max(1));
+    connections.cold_tokens.borrow_mut().try_take(rate, now)
 }
 
-/// Returns whether the target's data centre is withdrawn for longer than a part of the bound.
-fn is_withdrawn(context: &Context, seen: &Seen, now: Instant, part: f64) -> bool {
+/// Returns whether a target's data centre has been withdrawn for the given part of the withdrawal
+/// bound.
+fn is_withdrawn(context: &Context, view: &Seen, now: Instant, factor: f64) -> bool {
     let withdrawn = context.withdrawn.borrow();
-    let limit = context.bounds.borrow().withdrawal.mul_f64(part);
-    let since = withdrawn.get(&seen.target.data_centre);
+    let limit = context.bounds.borrow().withdrawal.mul_f64(factor);
+    let since = withdrawn.get(&view.target.data_centre);
     since.is_some_and(|since| now - *since >= limit)
 }
 
-/// Returns the connections to the present run of a target.
-fn line(context: &Context, seen: &Seen, now: Instant) -> Rc<TargetConnections> {
-    let mut lines = context.connections.borrow_mut();
-    let id = &seen.target.id;
-    if let Some(line) = lines.get(id).filter(|line| line.is_for(&seen.target)) {
-        return line.clone();
+/// Returns the connections to the current incarnation of a target.
+fn connections_to(context: &Context, view: &Seen, now: Instant) -> Rc<TargetConnections> {
+    let mut all = context.connections.borrow_mut();
+    let id = &view.target.id;
+    if let Some(known) = all.get(id).filter(|it| it.is_for(&view.target)) {
+        return known.clone();
     }
-    let line = Rc::new(TargetConnections::new(&seen.target, now));
-    lines.insert(id.clone(), line.clone());
-    line
+    let created = Rc::new(TargetConnections::new(&view.target, now));
+    all.insert(id.clone(), created.clone());
+    created
 }
