--- a/crates/cowslipcross/src/serve/caller_response.rs
+++ b/crates/cowslipcross/src/serve/caller_response.rs
@@ -13,8 +13,8 @@
 /// Body of every response to a caller.
 pub type ResponseBody = Full<Bytes>;
 
-/// Part of a caller's remaining time to which `retry-after` is limited: callers follow it only up to
-/// one third of that time.
+/// Part of a caller's remaining time to which `retry-after` is limited: callers follow it only up
+/// to one third of that time.
 const MAX_RETRY_AFTER_FACTOR: f64 = 0.3;
 
 /// A refusal: the request has not run and will not run.
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Builds the HTTP request for a target; `None` if the path or the target's id is not valid in HTTP.
+/// Builds the HTTP request for a target; `None` if the path or the target's id is invalid.
 fn build_message(request: &CallerRequest, target: &Name) -> Option<http::Request<RequestBody>> {
     let remaining = request.deadline.saturating_duration_since(Instant::now());
     let mut message = http::Request::new(Full::new(request.body.clone()));
--- a/crates/cowslipcross/src/serve/server.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Serves one connection until it ends, or until it is idle after [`CallerConnections::close_idle`].
+/// Serves one connection until it ends, or is idle after [`CallerConnections::close_idle`].
 async fn handle_connection(
     context: Rc<Context>,
     stream: TcpStream,
