--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -109,14 +109,14 @@
     target: Option<&Name>,
     excluded: &[Name],
 ) -> PermitResult {
-    let pool = (request.service.clone(), target.cloned());
-    let Some(coordinator) = find_coordinator(context, &pool) else {
+    let pool_key = (request.service.clone(), target.cloned());
+    let Some(coordinator) = find_coordinator(context, &pool_key) else {
         return PermitResult::Unanswered;
     };
     let (permit, pending) = create_permit(context, coordinator);
     let mut unanswered = 0;
     loop {
-        let message = permit_message(context, request, &pool, permit.number, excluded);
+        let message = permit_message(context, request, &pool_key, permit.number, excluded);
         send_message(context, message, coordinator);
         // After a timeout the permit request is sent again, so a late reply is not lost.
         let _ = timeout_at(Instant::now() + RESEND_DELAY, pending.wait_for_reply()).await;
@@ -171,7 +171,7 @@
 fn permit_message(
     context: &Context,
     request: &CallerRequest,
-    pool: &PoolKey,
+    pool_key: &PoolKey,
     number: u64,
     excluded: &[Name],
 ) -> Message {
@@ -179,8 +179,8 @@
     let millis_until = |time: Instant| time.saturating_duration_since(now).as_millis() as u64;
     Message::Ask {
         number,
-        service: pool.0.clone(),
-        target: pool.1.clone(),
+        service: pool_key.0.clone(),
+        target: pool_key.1.clone(),
         rank: request.route.priority,
         left: millis_until(request.deadline),
         goal: millis_until(request.arrived + request.route.latency_goal),
@@ -210,13 +210,13 @@
 }
 
 /// Returns the member that coordinates a pool; skipped members do not count.
-fn find_coordinator(context: &Context, pool: &PoolKey) -> Option<SocketAddr> {
+fn find_coordinator(context: &Context, pool_key: &PoolKey) -> Option<SocketAddr> {
     let now = Instant::now();
     let skipped = context.permits.skipped.borrow();
     let is_eligible = |member: &SocketAddr| skipped.get(member).is_none_or(|until| *until <= now);
-    let target = pool.1.as_deref().unwrap_or_default();
+    let target = pool_key.1.as_deref().unwrap_or_default();
     let membership = context.membership.borrow();
-    membership.holder(&format!("{} {target}", pool.0), is_eligible)
+    membership.holder(&format!("{} {target}", pool_key.0), is_eligible)
 }
 
 /// Handles a datagram about permits; other messages are ignored.
@@ -275,22 +275,22 @@
 fn handle_request(
     context: &Context,
     id: PermitRequestId<SocketAddr>,
-    key: PoolKey,
+    pool_key: PoolKey,
     permit_request: PermitRequest,
 ) {
     let now = Instant::now();
-    let targets = pool_targets(context, &key, now);
+    let targets = pool_targets(context, &pool_key, now);
     // Without a reply the requesting instance skips this one and turns to another member.
     if targets.is_empty() {
         return;
     }
     let mut pools = context.permits.pools.borrow_mut();
-    let pool = pools.entry(key.clone()).or_default();
+    let pool = pools.entry(pool_key.clone()).or_default();
     pool.update_targets(&targets, now);
     let reply = pool.request_permit(id, permit_request, now);
     drop(pools);
     if !matches!(reply, PermitReply::Refused(_)) {
-        context.permits.requests.borrow_mut().insert(id, key);
+        context.permits.requests.borrow_mut().insert(id, pool_key);
     }
     send_reply(context, id, reply);
 }
@@ -302,12 +302,12 @@
     outcome: PermitOutcome,
     slowdown: Option<f64>,
 ) {
-    let Some(key) = context.permits.requests.borrow_mut().remove(id) else {
+    let Some(pool_key) = context.permits.requests.borrow_mut().remove(id) else {
         return;
     };
     let now = Instant::now();
     let mut pools = context.permits.pools.borrow_mut();
-    let Some(pool) = pools.get_mut(&key) else {
+    let Some(pool) = pools.get_mut(&pool_key) else {
         return;
     };
     pool.finish_request(id, outcome, slowdown, now);
@@ -351,12 +351,13 @@
         let now = Instant::now();
         let mut replies = Vec::new();
         let mut pools = context.permits.pools.borrow_mut();
-        for (key, pool) in pools.iter_mut().filter(|(_, pool)| !pool.is_idle()) {
-            pool.update_targets(&pool_targets(&context, key, now), now);
+        for (pool_key, pool) in pools.iter_mut().filter(|(_, pool)| !pool.is_idle()) {
+            pool.update_targets(&pool_targets(&context, pool_key, now), now);
             replies.extend(pool.process_queue(now));
         }
         let mut requests = context.permits.requests.borrow_mut();
-        requests.retain(|id, key| pools.get(key).is_some_and(|pool| pool.has_request(id)));
+        requests
+            .retain(|id, pool_key| pools.get(pool_key).is_some_and(|pool| pool.has_request(id)));
         drop(requests);
         drop(pools);
         send_replies(&context, replies);
@@ -397,8 +398,8 @@
 }
 
 /// Returns the targets of a pool that may get requests.
-fn pool_targets(context: &Context, key: &PoolKey, now: Instant) -> BTreeMap<Name, PoolTarget> {
-    let (service, owner) = key;
+fn pool_targets(context: &Context, pool_key: &PoolKey, now: Instant) -> BTreeMap<Name, PoolTarget> {
+    let (service, owner) = pool_key;
     let config = context.config.borrow();
     let config = config.as_ref().and_then(|it| it.services.get(service));
     let max_rate = config.map_or(0.0, |it| it.cold_rate * COLD_RATE_FACTOR);
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -132,8 +132,8 @@
 }
 
 /// Returns the caller's timeout, at most that of the route.
-fn parse_timeout(all: &HeaderMap, route: &Route) -> Result<Duration, BadRequest> {
-    let Some(text) = headers::get_str(all, &headers::DEADLINE) else {
+fn parse_timeout(caller_headers: &HeaderMap, route: &Route) -> Result<Duration, BadRequest> {
+    let Some(text) = headers::get_str(caller_headers, &headers::DEADLINE) else {
         return Ok(route.timeout);
     };
     let millis: u64 = text
@@ -170,8 +170,8 @@
 }
 
 /// Returns the headers to forward; `content-length` is set again from the body that was read.
-fn forwarded_headers(all: &HeaderMap) -> HeaderMap {
-    let mut forwarded = headers::copy_end_to_end(all);
+fn forwarded_headers(caller_headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers::copy_end_to_end(caller_headers);
     forwarded.remove(header::CONTENT_LENGTH);
     forwarded.remove(header::EXPECT);
     forwarded.remove(&headers::REQUIRED_TARGET);
--- a/crates/cowslipcross/src/serve/server.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -157,6 +157,7 @@
     response
 }
 
+/// Forwards a valid request and returns the response for its caller.
 async fn forward(context: &Rc<Context>, request: Rc<CallerRequest>) -> Response<ResponseBody> {
     count_key(context, &request);
     let outcome = forward_request(context.clone(), request.clone()).await;
@@ -165,6 +166,7 @@
     outcome.into_response(&request.id, remaining)
 }
 
+/// Counts and records a request that cannot be served, and returns the response for its caller.
 fn reject(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<ResponseBody> {
     context.metrics.count_bad_request(bad);
     let fields = EventFields {
