--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -118,7 +118,7 @@
     loop {
         let message = permit_message(context, request, &pool_key, permit.number, excluded);
         send_message(context, message, coordinator);
-        // After a timeout the permit request is sent again, so a late reply is not lost.
+        // A late reply counts as none, and the permit request is sent again.
         let _ = timeout_at(Instant::now() + RESEND_DELAY, pending.wait_for_reply()).await;
         let mut reply = pending.reply.borrow_mut().take();
         match reply {
