--- a/crates/cowslipcross/src/serve/blocked_keys.rs
+++ b/crates/cowslipcross/src/serve/blocked_keys.rs
@@ -1,4 +1,4 @@
-//! Keys whose recorded owner refused a request: it no longer owns them, or not yet.
+//! Keys whose recorded owner refused a request: it has lost them, or has not got their grant yet.
 
 use {
     cowslip_decide::{
@@ -9,10 +9,10 @@
     tokio::time::Instant,
 };
 
-/// First time for which requests wait; doubled with each further refusal.
-const MIN_BLOCK: Duration = Duration::from_millis(50);
-/// Longest time for which requests wait.
-const MAX_BLOCK: Duration = Duration::from_millis(400);
+/// Wait after the first refusal; doubled with each further one.
+const INITIAL_BLOCK_DURATION: Duration = Duration::from_millis(50);
+/// Longest wait after a refusal.
+const MAX_BLOCK_DURATION: Duration = Duration::from_millis(400);
 
 /// Assignments whose owner refused a request, by service and first key.
 ///
@@ -24,7 +24,7 @@
 struct BlockedAssignment {
     fence: Fence,
     until: Instant,
-    wait: Duration,
+    duration: Duration,
 }
 
 impl BlockedKeys {
@@ -35,11 +35,13 @@
         if known.is_some_and(|it| it.until > now) {
             return;
         }
-        let wait = known.map_or(MIN_BLOCK, |it| (2 * it.wait).min(MAX_BLOCK));
+        let duration = known.map_or(INITIAL_BLOCK_DURATION, |it| {
+            (2 * it.duration).min(MAX_BLOCK_DURATION)
+        });
         let blocked = BlockedAssignment {
             fence: assignment.fence,
-            until: now + wait,
-            wait,
+            until: now + duration,
+            duration,
         };
         self.0.insert(key, blocked);
     }
--- a/crates/cowslipcross/src/serve/caller_response.rs
+++ b/crates/cowslipcross/src/serve/caller_response.rs
@@ -13,8 +13,8 @@
 /// Body of every response to a caller.
 pub type ResponseBody = Full<Bytes>;
 
-/// Part of a caller's remaining time to which `retry-after` is limited: callers follow it only up
-/// to one third of that time.
+/// Part of a caller's remaining time to which `retry-after` is limited. Callers follow it only up
+/// to one third of that time; 0.3 stays below.
 const MAX_RETRY_AFTER_FACTOR: f64 = 0.3;
 
 /// A refusal: the request has not run and will not run.
@@ -91,7 +91,8 @@
     response
 }
 
-/// Returns a 503 whose `retry-after` varies at random, so that callers do not retry all at once.
+/// Returns a 503 whose `retry-after` varies by 20 % at random, so that callers do not retry all at
+/// once.
 fn refusal_response(refusal: &Refusal, remaining: Duration) -> Response<ResponseBody> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, refusal.reason.as_str());
     let jitter = 0.8 + 0.4 * rand::random::<f64>();
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -45,7 +45,8 @@
     NotExecuted(ResponseMetadata),
     /// No connection was available, so nothing was sent.
     Unsent(ConnectError),
-    /// The request was at least partly sent, and no valid response was received; holds the cause.
+    /// The request was at least partly sent, and no response came that is complete, signed and its
+    /// own; holds the cause.
     Broken(&'static str),
     /// The request was at least partly sent, and its deadline passed.
     TimedOut,
@@ -54,6 +55,7 @@
 /// A connection in use; counted as closed on drop unless it was returned for reuse.
 struct ActiveConnection<'a> {
     target_connections: &'a TargetConnections,
+    /// `None` once the connection was returned or counted as closed.
     connection: Option<Connection>,
 }
 
@@ -95,7 +97,12 @@
         let Some(message) = build_message(&request, &target) else {
             return ExchangeOutcome::Unsent(ConnectError::Failed);
         };
-        match timeout_at(response_deadline, exchange(active, message, &request)).await {
+        match timeout_at(
+            response_deadline,
+            send_on_connection(active, message, &request),
+        )
+        .await
+        {
             // The connection was closed while idle, so nothing was sent on it.
             Ok(None) if is_reused => idle = connections.take_idle(),
             Ok(None) => return ExchangeOutcome::Unsent(ConnectError::Failed),
@@ -136,7 +143,7 @@
 }
 
 /// Sends a request on a connection; returns `None` if it was closed before anything was sent.
-async fn exchange(
+async fn send_on_connection(
     mut active: ActiveConnection<'_>,
     message: http::Request<RequestBody>,
     request: &CallerRequest,
--- a/crates/cowslipcross/src/serve/forward.rs
+++ b/crates/cowslipcross/src/serve/forward.rs
@@ -85,10 +85,13 @@
         PermitResult::RoutingChanged => return Step::SelectAfter(Duration::ZERO),
         PermitResult::Unanswered => None,
     };
-    let is_same = |selection| matches!(selection, Selection::Owner(_, owner) if owner == *target);
-    if permit.is_some() && !is_same(select_target(context, request)) {
+    let is_still_owner =
+        |selection| matches!(selection, Selection::Owner(_, owner) if owner == *target);
+    // The key may have got another owner while the request waited for the permit.
+    if permit.is_some() && !is_still_owner(select_target(context, request)) {
         return Step::SelectAfter(Duration::ZERO);
     }
+    // With a permit, the coordinator limits the rate of a cold target.
     if permit.is_none()
         && let Err(wait) = target_selection::take_cold_token(context, request, target)
     {
@@ -107,7 +110,7 @@
     let (connections, target, permit) =
         match permits::request_permit(context, request, None, &history.excluded).await {
             PermitResult::Acquired(permit, target) => {
-                match target_selection::open_connections(context, &target) {
+                match target_selection::connections_if_available(context, &target) {
                     Some(connections) => (connections, target, Some(permit)),
                     None => {
                         history.exclude_target(target);
@@ -137,12 +140,12 @@
     poll_interval: Duration,
 ) -> Option<RequestOutcome> {
     let now = Instant::now();
-    let Some(end) = history.poll_owner_wait(request.deadline, now) else {
+    let Some(wait_until) = history.poll_owner_wait(request.deadline, now) else {
         return Some(error_outcome(history.final_error(Reason::NoOwner)));
     };
     let changed = context.routing_changed.notified();
     // After a timeout a target is selected again as after a change.
-    let _ = timeout_at(end.min(now + poll_interval), changed).await;
+    let _ = timeout_at(wait_until.min(now + poll_interval), changed).await;
     None
 }
 
@@ -164,12 +167,12 @@
         max_connections,
     );
     let attempt = async move {
-        let ended = exchange.await;
+        let exchange_outcome = exchange.await;
         if let Some(permit) = permit {
-            permit.outcome.set(permit_outcome(&ended));
+            permit.outcome.set(permit_outcome(&exchange_outcome));
             permit.slowdown.set(connections.slowdown());
         }
-        ended
+        exchange_outcome
     };
     if request.route.idempotent {
         return attempt.await;
@@ -190,7 +193,7 @@
     }
 }
 
-/// Returns how many connections this instance may have to each target of the request's service.
+/// Returns this instance's share of the service's connection limit per target, at least 2.
 fn connection_limit(context: &Context, request: &CallerRequest) -> u32 {
     let config = context.config.borrow();
     let service = config
--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -33,13 +33,13 @@
 const MAX_UNANSWERED: u32 = 3;
 /// Time for which a coordinator that does not answer is skipped.
 const SKIP_DURATION: Duration = Duration::from_millis(1500);
-/// Time after which a queued permit request is sent again, in case its reply or the queue was lost.
+/// Time after which a queued permit request is sent again, to learn whether it is still queued.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval at which the coordinator processes its queues.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Factor on the configured rate of a cold target. A target may get somewhat more than its rate in
-/// any one second; 1.1 stays below that allowance.
-const COLD_RATE_FACTOR: f64 = 1.1;
+/// Factor on the configured rate of a cold target. In any one second it may get somewhat more than
+/// that rate, by an allowance that the router does not know; 1.1 stays below it.
+const PERMIT_RATE_FACTOR: f64 = 1.1;
 
 /// Identifies a pool: a service, and the target if the service is sharded.
 pub type PoolKey = (Name, Option<Name>);
@@ -47,9 +47,10 @@
 /// State of the permits that this instance grants as coordinator and requests from coordinators.
 #[derive(Default)]
 pub struct Permits {
+    /// Pools that this instance coordinates.
     pools: RefCell<BTreeMap<PoolKey, Pool<SocketAddr>>>,
-    /// Pools of the requests that are queued or have a permit.
-    requests: RefCell<BTreeMap<PermitRequestId<SocketAddr>, PoolKey>>,
+    /// Pool of each request, of any instance, that is queued or has a permit at this coordinator.
+    pool_keys: RefCell<BTreeMap<PermitRequestId<SocketAddr>, PoolKey>>,
     /// Replies to this instance's own permit requests, by number.
     pending_replies: RefCell<BTreeMap<u64, Rc<PendingReply>>>,
     /// Coordinators that did not answer, with the time until which they are skipped.
@@ -118,13 +119,15 @@
     loop {
         let message = permit_message(context, request, &pool_key, permit.number, excluded);
         send_message(context, message, coordinator);
-        // A late reply counts as none, and the permit request is sent again.
+        // A late reply counts as unanswered here and is read after the next send.
         let _ = timeout_at(Instant::now() + RESEND_DELAY, pending.wait_for_reply()).await;
         let mut reply = pending.reply.borrow_mut().take();
         match reply {
             None => unanswered += 1,
             Some(PermitReply::Queued) => {
                 unanswered = 0;
+                // For an unsharded service the coordinator chooses the target: changes of the
+                // routing data do not matter here.
                 let changed = context.routing_changed.notified();
                 let check_at = (Instant::now() + QUEUE_CHECK_INTERVAL).min(request.deadline);
                 tokio::select! {
@@ -280,7 +283,7 @@
 ) {
     let now = Instant::now();
     let targets = pool_targets(context, &pool_key, now);
-    // Without a reply the requesting instance skips this one and turns to another member.
+    // Without a reply the requesting instance sends without a permit and skips this coordinator.
     if targets.is_empty() {
         return;
     }
@@ -290,7 +293,7 @@
     let reply = pool.request_permit(id, permit_request, now);
     drop(pools);
     if !matches!(reply, PermitReply::Refused(_)) {
-        context.permits.requests.borrow_mut().insert(id, pool_key);
+        context.permits.pool_keys.borrow_mut().insert(id, pool_key);
     }
     send_reply(context, id, reply);
 }
@@ -302,7 +305,7 @@
     outcome: PermitOutcome,
     slowdown: Option<f64>,
 ) {
-    let Some(pool_key) = context.permits.requests.borrow_mut().remove(id) else {
+    let Some(pool_key) = context.permits.pool_keys.borrow_mut().remove(id) else {
         return;
     };
     let now = Instant::now();
@@ -341,7 +344,7 @@
             .borrow()
             .values()
             .any(|it| it.queue_length() > 0);
-        // While nothing is queued, only expired permits have to be removed.
+        // While nothing is queued, only expired permits, whose return was lost, are removed.
         sleep(if has_queued {
             QUEUE_POLL_INTERVAL
         } else {
@@ -355,10 +358,10 @@
             pool.update_targets(&pool_targets(&context, pool_key, now), now);
             replies.extend(pool.process_queue(now));
         }
-        let mut requests = context.permits.requests.borrow_mut();
-        requests
+        let mut pool_keys = context.permits.pool_keys.borrow_mut();
+        pool_keys
             .retain(|id, pool_key| pools.get(pool_key).is_some_and(|pool| pool.has_request(id)));
-        drop(requests);
+        drop(pool_keys);
         drop(pools);
         send_replies(&context, replies);
     }
@@ -367,7 +370,7 @@
 fn send_replies(context: &Context, replies: Vec<(PermitRequestId<SocketAddr>, PermitReply)>) {
     for (id, reply) in replies {
         if matches!(reply, PermitReply::Refused(_)) {
-            context.permits.requests.borrow_mut().remove(&id);
+            context.permits.pool_keys.borrow_mut().remove(&id);
         }
         send_reply(context, id, reply);
     }
@@ -402,7 +405,7 @@
     let (service, owner) = pool_key;
     let config = context.config.borrow();
     let config = config.as_ref().and_then(|it| it.services.get(service));
-    let max_rate = config.map_or(0.0, |it| it.cold_rate * COLD_RATE_FACTOR);
+    let max_rate = config.map_or(0.0, |it| it.cold_rate * PERMIT_RATE_FACTOR);
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     targets
--- a/crates/cowslipcross/src/serve/request.rs
+++ b/crates/cowslipcross/src/serve/request.rs
@@ -42,7 +42,7 @@
 pub enum BadRequest {
     /// This instance has not read a configuration yet.
     NoConfig,
-    /// No route matches.
+    /// No route matches, or all services of the route have weight 0.
     NoRoute,
     /// The request id is missing.
     MissingId,
--- a/crates/cowslipcross/src/serve/server.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -39,16 +39,16 @@
 /// Smallest read buffer that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Open connections of callers.
+/// Handle to the state of all callers' connections; clones share the state.
 #[derive(Clone, Default)]
-pub struct CallerConnections(Rc<ConnectionState>);
+pub struct CallerConnections(Rc<SharedState>);
 
-struct ConnectionState {
+struct SharedState {
     open_count: Cell<usize>,
     close_signal: RefCell<watch::Sender<bool>>,
 }
 
-impl Default for ConnectionState {
+impl Default for SharedState {
     fn default() -> Self {
         Self {
             open_count: Cell::new(0),
--- a/crates/cowslipcross/src/serve/target_connections.rs
+++ b/crates/cowslipcross/src/serve/target_connections.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether the connections lead to the reported incarnation and address of the target.
-    pub fn is_for(&self, target: &TargetReport) -> bool {
+    pub fn matches_target(&self, target: &TargetReport) -> bool {
         self.address == target.address && self.incarnation == target.incarnation
     }
 
@@ -104,7 +104,7 @@
         self.avoid_until.get().is_some_and(|until| until > now)
     }
 
-    /// Drops idle connections that are closed or too old, and returns one of the others.
+    /// Drops idle connections that are closed or past their timeout; returns one of the others.
     pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -15,9 +15,11 @@
     tokio::time::Instant,
 };
 
-/// Time for which a draining owner still gets requests for its keys.
+/// Time for which a draining owner still gets requests for its keys; after it, requests wait for
+/// the next owner.
 const OWNER_DRAIN_TIME: Duration = Duration::from_millis(500);
-/// Part of the withdrawal bound for which owners in a withdrawn data centre still get requests.
+/// Part of the setting `bounds.withdrawal` for which owners in a withdrawn data centre still get
+/// requests.
 const OWNER_WITHDRAWAL_FACTOR: f64 = 0.4;
 /// Time constant with which the number of requests in a load report decays.
 const LOAD_DECAY_TIME: Duration = Duration::from_millis(400);
@@ -30,7 +32,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// Part of a cold target's rate that all instances together use without permits; below 1 as each
 /// instance counts only its own requests.
-const COLD_RATE_FACTOR: f64 = 0.9;
+const NO_PERMIT_RATE_FACTOR: f64 = 0.9;
 
 /// What to do with a request next.
 pub enum Selection {
@@ -91,8 +93,8 @@
     else {
         return Selection::Wait(POLL_INTERVAL);
     };
-    let drained = |since: Instant| now - since > OWNER_DRAIN_TIME;
-    if view.leaving.is_some_and(drained)
+    let is_drain_over = |since: Instant| now - since > OWNER_DRAIN_TIME;
+    if view.leaving.is_some_and(is_drain_over)
         || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
     {
         return Selection::Wait(POLL_INTERVAL);
@@ -103,7 +105,7 @@
 /// Returns the connections to a target of an unsharded service; `None` if it may get no new work.
 ///
 /// The coordinator that chose the target may not know yet that it is draining or withdrawn.
-pub fn open_connections(context: &Context, target: &Name) -> Option<Rc<TargetConnections>> {
+pub fn connections_if_available(context: &Context, target: &Name) -> Option<Rc<TargetConnections>> {
     let now = Instant::now();
     let targets = context.targets.borrow();
     let view = targets
@@ -206,7 +208,7 @@
     estimate.response_time() * rand::random_range(COST_JITTER)
 }
 
-/// Takes a token of this instance's share of a cold target's rate.
+/// Takes a token from the target's bucket, which fills at this instance's share of the cold rate.
 fn try_take_token(
     context: &Context,
     service: &Service,
@@ -214,12 +216,12 @@
     now: Instant,
 ) -> Result<(), Duration> {
     let rate =
-        service.cold_rate * COLD_RATE_FACTOR / f64::from(context.instance_count.get().max(1));
+        service.cold_rate * NO_PERMIT_RATE_FACTOR / f64::from(context.instance_count.get().max(1));
     connections.cold_tokens.borrow_mut().try_take(rate, now)
 }
 
-/// Returns whether a target's data centre has been withdrawn for the given part of the withdrawal
-/// bound.
+/// Returns whether a target's data centre has been withdrawn for `factor` times the setting
+/// `bounds.withdrawal`.
 fn is_withdrawn(context: &Context, view: &Seen, now: Instant, factor: f64) -> bool {
     let withdrawn = context.withdrawn.borrow();
     let limit = context.bounds.borrow().withdrawal.mul_f64(factor);
@@ -231,7 +233,7 @@
 fn connections_to(context: &Context, view: &Seen, now: Instant) -> Rc<TargetConnections> {
     let mut all = context.connections.borrow_mut();
     let id = &view.target.id;
-    if let Some(known) = all.get(id).filter(|it| it.is_for(&view.target)) {
+    if let Some(known) = all.get(id).filter(|it| it.matches_target(&view.target)) {
         return known.clone();
     }
     let created = Rc::new(TargetConnections::new(&view.target, now));
