--- a/crates/cowslipcross/src/endpoints.rs
+++ b/crates/cowslipcross/src/endpoints.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         context::Context,
-        serve::{answer::Body, count::Counted},
+        serve::{caller_response::ResponseBody, counter_guard::CounterGuard},
         status::Status,
     },
     bytes::Bytes,
@@ -47,7 +47,7 @@
     serve(listener, move |request| render_page(&context, request)).await;
 }
 
-fn render_page(context: &Context, request: &Request<Incoming>) -> Response<Body> {
+fn render_page(context: &Context, request: &Request<Incoming>) -> Response<ResponseBody> {
     match request.uri().path() {
         "/healthz" => plain(StatusCode::OK, "ok"),
         "/metrics" => Response::new(Full::new(context.metrics.render(context).into())),
@@ -92,7 +92,7 @@
 
 async fn serve(
     listener: TcpListener,
-    handler: impl Fn(&Request<Incoming>) -> Response<Body> + 'static,
+    handler: impl Fn(&Request<Incoming>) -> Response<ResponseBody> + 'static,
 ) {
     let (handler, open) = (Rc::new(handler), Rc::new(Cell::new(0)));
     loop {
@@ -109,10 +109,10 @@
 /// Serves one connection until it ends or its lifetime is over.
 async fn handle_connection(
     stream: TcpStream,
-    handler: Rc<impl Fn(&Request<Incoming>) -> Response<Body> + 'static>,
+    handler: Rc<impl Fn(&Request<Incoming>) -> Response<ResponseBody> + 'static>,
     open: Rc<Cell<u32>>,
 ) {
-    let _counted = Counted::new(&open);
+    let _counted = CounterGuard::new(&open);
     let service = service_fn(move |request| {
         let response = handler(&request);
         async move { Ok::<_, Infallible>(response) }
@@ -125,7 +125,7 @@
     let _ = timeout(CONNECTION_LIFETIME, connection).await;
 }
 
-fn json(value: &impl Serialize) -> Response<Body> {
+fn json(value: &impl Serialize) -> Response<ResponseBody> {
     match serde_json::to_vec(value) {
         Ok(body) => {
             let mut response = Response::new(Full::new(body.into()));
@@ -139,7 +139,7 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -13,7 +13,7 @@
         events::{self, EventFields},
         lead::{leader_loop, leader_row},
         peers::{beat, datagram},
-        serve::{entry, permit},
+        serve::{permits, server},
         stop,
         views::{config, targets},
     },
@@ -75,13 +75,17 @@
     spawn_local(targets::follow(context.clone()));
     spawn_local(datagram::receive(context.clone()));
     spawn_local(beat::report(context.clone()));
-    spawn_local(permit::serve(context.clone()));
+    spawn_local(permits::process_queues(context.clone()));
     spawn_local(leader_row::run_election(context.clone()));
     spawn_local(leader_loop::run(context.clone()));
     spawn_local(report_skipped_events(context.clone()));
     spawn_local(reload_settings(context.clone(), path, overrides, reload));
-    let connections = entry::Conns::default();
-    let accept_task = spawn_local(entry::accept(context.clone(), callers, connections.clone()));
+    let connections = server::CallerConnections::default();
+    let accept_task = spawn_local(server::accept_connections(
+        context.clone(),
+        callers,
+        connections.clone(),
+    ));
     stop::drain_after_signal(terminate, &context, &connections, accept_task).await;
     Ok(())
 }
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         context::Context,
-        serve::{answer::Answer, exchange::End, request::BadRequest},
+        serve::{caller_response::RequestOutcome, exchange::ExchangeOutcome, request::BadRequest},
         status::ViewAges,
     },
     cowslip_adapter::config::Route,
@@ -111,7 +111,7 @@
     }
 
     /// Counts a response to a caller and its duration since the head of the request.
-    pub fn count_response(&self, route: &Route, answer: &Answer, duration: Duration) {
+    pub fn count_response(&self, route: &Route, answer: &RequestOutcome, duration: Duration) {
         let priority = route.priority.to_string();
         let kind = match route.idempotent {
             true => "repeatable",
@@ -135,14 +135,14 @@
     }
 
     /// Counts an attempt to send a request to a target.
-    pub fn count_attempt(&self, service: &str, end: &End) {
+    pub fn count_attempt(&self, service: &str, end: &ExchangeOutcome) {
         let outcome = match end {
-            End::Whole(whole) if whole.status.is_server_error() => "error",
-            End::Whole(_) => "answer",
-            End::Unrun(_) => "refused",
-            End::Unsent(_) => "unsent",
-            End::Broken(_) => "broken",
-            End::Late => "late",
+            ExchangeOutcome::Completed(whole) if whole.status.is_server_error() => "error",
+            ExchangeOutcome::Completed(_) => "answer",
+            ExchangeOutcome::NotExecuted(_) => "refused",
+            ExchangeOutcome::Unsent(_) => "unsent",
+            ExchangeOutcome::Broken(_) => "broken",
+            ExchangeOutcome::TimedOut => "late",
         };
         self.attempts.with_label_values(&[service, outcome]).inc();
     }
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -1,10 +1,10 @@
-//! One request on one connection to a target, up to its whole answer or to what was seen instead.
+//! One request on one connection to a target, and its response or the reason why there is none.
 
 use {
     crate::serve::{
-        count::Counted,
-        line::{Line, Link, NoLink},
-        request::Request,
+        counter_guard::CounterGuard,
+        request::CallerRequest,
+        target_connections::{ConnectError, Connection, TargetConnections},
     },
     bytes::Bytes,
     cowslip_adapter::headers::{self, ResponseMetadata},
@@ -17,96 +17,109 @@
 };
 
 /// Body of every request to a target.
-pub type Body = Full<Bytes>;
+pub type RequestBody = Full<Bytes>;
 
-/// Longest answer that is passed on, in bytes.
-const LONGEST_ANSWER: usize = 32 << 20;
-/// Time beyond the deadline that a target may take for its own last word on a request that may not
-/// be repeated.
-const LAST_WORD: Duration = Duration::from_millis(120);
+/// Size of the largest response body that is passed on.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Time after the deadline for which the response to a non-idempotent request is awaited, as the
+/// target may still report whether the request ran.
+const RESPONSE_GRACE: Duration = Duration::from_millis(120);
 
-/// Whole answer of a target.
+/// Complete response of a target.
 #[derive(Clone, Debug)]
-pub struct Whole {
-    /// Status.
+pub struct TargetResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// Headers that are passed on.
+    /// Headers to pass on to the caller.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// How an attempt to send a request to a target ended.
 #[derive(Clone, Debug)]
-pub enum End {
+pub enum ExchangeOutcome {
     /// The target answered.
-    Whole(Whole),
-    /// The target says that it did not run the request.
-    Unrun(ResponseMetadata),
-    /// No byte left: there was no connection.
-    Unsent(NoLink),
-    /// Bytes may have left, and no whole answer came.
+    Completed(TargetResponse),
+    /// The target answered that it did not run the request.
+    NotExecuted(ResponseMetadata),
+    /// No connection was available, so nothing was sent.
+    Unsent(ConnectError),
+    /// The request was at least partly sent, and no response came that is complete, signed and its
+    /// own; holds the cause.
     Broken(&'static str),
-    /// Bytes may have left, and the deadline passed.
-    Late,
+    /// The request was at least partly sent, and its deadline passed.
+    TimedOut,
 }
 
-/// A connection in use; it counts as closed unless it is kept.
-struct Used<'a> {
-    line: &'a Line,
-    link: Option<Link>,
+/// A connection in use; counted as closed on drop unless it was returned for reuse.
+struct ActiveConnection<'a> {
+    target_connections: &'a TargetConnections,
+    /// `None` once the connection was returned or counted as closed.
+    connection: Option<Connection>,
 }
 
-impl Drop for Used<'_> {
+impl Drop for ActiveConnection<'_> {
     fn drop(&mut self) {
-        if self.link.take().is_some() {
-            self.line.closed();
+        if self.connection.take().is_some() {
+            self.target_connections.count_closed();
         }
     }
 }
 
-/// Sends a request to a target and waits for its whole answer.
-pub async fn run(line: Rc<Line>, target: Name, request: Rc<Request>, most: u32) -> End {
-    let _running = Counted::new(&line.running);
-    let last = match request.route.idempotent {
+/// Sends a request to a target on an idle or new connection and waits for the complete response.
+pub async fn send_request(
+    connections: Rc<TargetConnections>,
+    target: Name,
+    request: Rc<CallerRequest>,
+    max_connections: u32,
+) -> ExchangeOutcome {
+    let _active = CounterGuard::new(&connections.active_requests);
+    let response_deadline = match request.route.idempotent {
         true => request.deadline,
-        false => request.deadline + LAST_WORD,
+        false => request.deadline + RESPONSE_GRACE,
     };
-    let begun = Instant::now();
-    let mut first = line.reuse();
+    let start = Instant::now();
+    let mut idle = connections.take_idle();
     loop {
-        let (link, reused) = match first.take() {
-            Some(link) => (link, true),
-            None => match timeout_at(request.deadline, line.open(most)).await {
-                Ok(Ok(link)) => (link, false),
-                Ok(Err(cause)) => return End::Unsent(cause),
-                Err(_) => return End::Unsent(NoLink::Failed),
+        let (connection, is_reused) = match idle.take() {
+            Some(connection) => (connection, true),
+            None => match timeout_at(request.deadline, connections.open(max_connections)).await {
+                Ok(Ok(connection)) => (connection, false),
+                Ok(Err(cause)) => return ExchangeOutcome::Unsent(cause),
+                Err(_) => return ExchangeOutcome::Unsent(ConnectError::Failed),
             },
         };
-        let used = Used {
-            line: &line,
-            link: Some(link),
+        let active = ActiveConnection {
+            target_connections: &connections,
+            connection: Some(connection),
         };
-        let Some(message) = message(&request, &target) else {
-            return End::Unsent(NoLink::Failed);
+        let Some(message) = build_message(&request, &target) else {
+            return ExchangeOutcome::Unsent(ConnectError::Failed);
         };
-        match timeout_at(last, send(used, message, &request)).await {
-            // The connection had ended while it was idle: nothing left on it.
-            Ok(None) if reused => first = line.reuse(),
-            Ok(None) => return End::Unsent(NoLink::Failed),
-            Ok(Some(end)) => {
-                if matches!(end, End::Whole(_)) {
-                    line.answered(begun.elapsed());
+        match timeout_at(
+            response_deadline,
+            send_on_connection(active, message, &request),
+        )
+        .await
+        {
+            // The connection was closed while idle, so nothing was sent on it.
+            Ok(None) if is_reused => idle = connections.take_idle(),
+            Ok(None) => return ExchangeOutcome::Unsent(ConnectError::Failed),
+            Ok(Some(outcome)) => {
+                if matches!(outcome, ExchangeOutcome::Completed(_)) {
+                    connections.record_service_time(start.elapsed());
                 }
-                return end;
+                return outcome;
             }
-            Err(_) => return End::Late,
+            Err(_) => return ExchangeOutcome::TimedOut,
         }
     }
 }
 
-fn message(request: &Request, target: &Name) -> Option<http::Request<Body>> {
-    let left = request.deadline.saturating_duration_since(Instant::now());
+/// Builds the HTTP request for a target; `None` if the path or the target's id is invalid.
+fn build_message(request: &CallerRequest, target: &Name) -> Option<http::Request<RequestBody>> {
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
     let mut message = http::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.path.parse().ok()?;
@@ -114,7 +127,7 @@
     let headers = message.headers_mut();
     headers.insert(
         headers::DEADLINE,
-        HeaderValue::from(left.as_millis() as u64),
+        HeaderValue::from(remaining.as_millis() as u64),
     );
     headers.insert(
         headers::REQUIRED_TARGET,
@@ -129,57 +142,71 @@
     Some(message)
 }
 
-/// Returns `None` if the connection had ended before any byte left.
-async fn send(mut used: Used<'_>, message: http::Request<Body>, request: &Request) -> Option<End> {
-    let sender = &mut used.link.as_mut()?.sender;
+/// Sends a request on a connection; returns `None` if it was closed before anything was sent.
+async fn send_on_connection(
+    mut active: ActiveConnection<'_>,
+    message: http::Request<RequestBody>,
+    request: &CallerRequest,
+) -> Option<ExchangeOutcome> {
+    let sender = &mut active.connection.as_mut()?.sender;
     if sender.ready().await.is_err() {
         return None;
     }
-    let answer = match sender.try_send_request(message).await {
-        Ok(answer) => answer,
+    let response = match sender.try_send_request(message).await {
+        Ok(response) => response,
         Err(mut error) => {
             return match error.take_message() {
                 Some(_) => None,
-                None => Some(End::Broken("connection broke before the answer")),
+                None => Some(ExchangeOutcome::Broken(
+                    "connection closed before the response",
+                )),
             };
         }
     };
-    let signs = headers::parse_response_head(answer.status(), answer.headers());
-    if !headers::has_request_id(answer.headers(), &request.id) && !signs.not_executed {
-        return Some(End::Broken("answer to another request"));
+    let metadata = headers::parse_response_head(response.status(), response.headers());
+    if !headers::has_request_id(response.headers(), &request.id) && !metadata.not_executed {
+        return Some(ExchangeOutcome::Broken("answer to another request"));
     }
-    if let Some(load) = signs.load {
-        used.line.load.set(Some((load, Instant::now())));
+    if let Some(load) = metadata.load {
+        active
+            .target_connections
+            .load
+            .set(Some((load, Instant::now())));
     }
-    let whole = whole(answer).await;
-    let Some(whole) = whole else {
-        return Some(match signs.not_executed {
-            true => End::Unrun(signs),
-            false => End::Broken("answer ended early"),
+    let complete = read_response(response).await;
+    let Some(complete) = complete else {
+        return Some(match metadata.not_executed {
+            true => ExchangeOutcome::NotExecuted(metadata),
+            false => ExchangeOutcome::Broken("response truncated or too long"),
         });
     };
-    if let Some(link) = used.link.take() {
-        match signs.closes_connection {
-            true => used.line.closed(),
-            false => used.line.keep(link, signs.keep_alive),
+    if let Some(connection) = active.connection.take() {
+        match metadata.closes_connection {
+            true => active.target_connections.count_closed(),
+            false => active
+                .target_connections
+                .return_idle(connection, metadata.keep_alive),
         }
     }
-    if signs.not_executed {
-        return Some(End::Unrun(signs));
+    if metadata.not_executed {
+        return Some(ExchangeOutcome::NotExecuted(metadata));
     }
-    if whole.status.is_success() && !signs.signed {
-        return Some(End::Broken("answer without a signature"));
+    if complete.status.is_success() && !metadata.signed {
+        return Some(ExchangeOutcome::Broken("response without a signature"));
     }
-    Some(End::Whole(whole))
+    Some(ExchangeOutcome::Completed(complete))
 }
 
-/// Returns the whole answer, or `None` if it ended early or is too long.
-async fn whole(answer: Response<Incoming>) -> Option<Whole> {
-    let (head, body) = answer.into_parts();
-    let body = Limited::new(body, LONGEST_ANSWER).collect().await.ok()?;
+/// Reads the complete response; returns `None` if it is truncated or too long.
+async fn read_response(response: Response<Incoming>) -> Option<TargetResponse> {
+    let (head, body) = response.into_parts();
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
+        .collect()
+        .await
+        .ok()?;
     let mut headers = headers::copy_end_to_end(&head.headers);
     headers.remove(header::CONTENT_LENGTH);
-    Some(Whole {
+    Some(TargetResponse {
         status: head.status,
         headers,
         body: body.to_bytes(),
--- /dev/null
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -0,0 +1,242 @@
+//! Selection of the target for the next attempt of a request.
+
+use {
+    crate::{
+        context::Context,
+        serve::{request::CallerRequest, target_connections::TargetConnections},
+        views::seen::{Seen, Targets},
+    },
+    cowslip_adapter::config::Service,
+    cowslip_decide::{
+        names::Name,
+        service_time::{self, TargetEstimate},
+    },
+    std::{ops::RangeInclusive, rc::Rc, time::Duration},
+    tokio::time::Instant,
+};
+
+/// Time for which a draining owner still gets requests for its keys; after it, requests wait for
+/// the next owner.
+const OWNER_DRAIN_TIME: Duration = Duration::from_millis(500);
+/// Part of the setting `bounds.withdrawal` for which owners in a withdrawn data centre still get
+/// requests.
+const OWNER_WITHDRAWAL_FACTOR: f64 = 0.4;
+/// Time constant with which the number of requests in a load report decays.
+const LOAD_DECAY_TIME: Duration = Duration::from_millis(400);
+/// Slots assumed of a target that has not reported its load.
+const ASSUMED_SLOTS: u32 = 2;
+/// Random factor on expected response times, so that equal targets get equal parts.
+const COST_JITTER: RangeInclusive<f64> = 0.9..=1.1;
+/// Time after which a target is selected again when configuration, owners or targets have not
+/// changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Part of a cold target's rate that all instances together use without permits; below 1 as each
+/// instance counts only its own requests.
+const NO_PERMIT_RATE_FACTOR: f64 = 0.9;
+
+/// What to do with a request next.
+pub enum Selection {
+    /// Send it to the owner of its key.
+    Owner(Rc<TargetConnections>, Name),
+    /// Send it to any target of its service.
+    AnyTarget,
+    /// Wait until the routing data change, at most for this time.
+    Wait(Duration),
+    /// Refuse it; a retry may succeed after this time.
+    Refuse(Duration),
+}
+
+/// Selects the target of the next attempt by the current configuration, owners and targets.
+pub fn select_target(context: &Context, request: &CallerRequest) -> Selection {
+    let now = Instant::now();
+    let config = context.config.borrow().clone();
+    let service = config
+        .as_ref()
+        .and_then(|it| it.services.get(&request.service));
+    let Some(service) = service else {
+        return Selection::Refuse(POLL_INTERVAL);
+    };
+    let targets = context.targets.borrow().clone();
+    match request.key {
+        Some(key) => select_owner(context, request, (&targets, key), now),
+        None if service.sharded => Selection::Refuse(POLL_INTERVAL),
+        None => Selection::AnyTarget,
+    }
+}
+
+/// Selects the owner of a key, or a wait while the key has no owner that takes requests.
+fn select_owner(
+    context: &Context,
+    request: &CallerRequest,
+    (targets, key): (&Targets, u16),
+    now: Instant,
+) -> Selection {
+    let owners = context.owners.borrow();
+    let Some(owners) = owners.get(&request.service) else {
+        return Selection::Wait(POLL_INTERVAL);
+    };
+    let assigned = owners.table.assignment(key);
+    if let Some(wait) =
+        context
+            .blocked_keys
+            .borrow()
+            .remaining_wait(&request.service, assigned, now)
+    {
+        return Selection::Wait(wait);
+    }
+    let Some(owner_incarnation) = assigned.owner.as_ref() else {
+        return Selection::Wait(POLL_INTERVAL);
+    };
+    let Some(view) = targets
+        .get(&owner_incarnation.id)
+        .filter(|it| it.target.incarnation == owner_incarnation.incarnation)
+    else {
+        return Selection::Wait(POLL_INTERVAL);
+    };
+    let is_drain_over = |since: Instant| now - since > OWNER_DRAIN_TIME;
+    if view.leaving.is_some_and(is_drain_over)
+        || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
+    {
+        return Selection::Wait(POLL_INTERVAL);
+    }
+    Selection::Owner(connections_to(context, view, now), view.target.id.clone())
+}
+
+/// Returns the connections to a target of an unsharded service; `None` if it may get no new work.
+///
+/// The coordinator that chose the target may not know yet that it is draining or withdrawn.
+pub fn connections_if_available(context: &Context, target: &Name) -> Option<Rc<TargetConnections>> {
+    let now = Instant::now();
+    let targets = context.targets.borrow();
+    let view = targets
+        .get(target)
+        .filter(|view| is_available(context, view, now))?;
+    Some(connections_to(context, view, now))
+}
+
+/// Returns whether a target of an unsharded service may get new work.
+fn is_available(context: &Context, view: &Seen, now: Instant) -> bool {
+    view.leaving.is_none() && !is_withdrawn(context, view, now, 0.0)
+}
+
+/// Takes a token of this instance's share of a cold target's rate; a warm target needs none.
+///
+/// # Errors
+/// Returns the time until the next token if there is none.
+pub fn take_cold_token(
+    context: &Context,
+    request: &CallerRequest,
+    target: &Name,
+) -> Result<(), Duration> {
+    let now = Instant::now();
+    let config = context.config.borrow();
+    let service = config
+        .as_ref()
+        .and_then(|it| it.services.get(&request.service));
+    let targets = context.targets.borrow();
+    let cold = targets.get(target).filter(|view| view.is_cold(now));
+    match (service, cold) {
+        (Some(service), Some(view)) => {
+            try_take_token(context, service, &connections_to(context, view, now), now)
+        }
+        _ => Ok(()),
+    }
+}
+
+/// Selects a target of an unsharded service without a permit, except those in `excluded`.
+///
+/// Warm targets are preferred, by expected response time; cold ones are limited in their rate.
+///
+/// # Errors
+/// Returns the time after which a retry may succeed if no target may get the request now.
+pub fn select_without_permit(
+    context: &Context,
+    request: &CallerRequest,
+    excluded: &[Name],
+) -> Result<(Rc<TargetConnections>, Name), Duration> {
+    let now = Instant::now();
+    let targets = context.targets.borrow().clone();
+    let available: Vec<&Seen> = targets
+        .of(&request.service)
+        .filter(|view| is_available(context, view, now))
+        .filter(|view| !excluded.contains(&view.target.id))
+        .collect();
+    let warm = available.iter().filter(|view| !view.is_cold(now));
+    let best = warm
+        .map(|view| {
+            let connections = connections_to(context, view, now);
+            let is_nearby = view.target.data_centre == context.settings.data_centre;
+            let cost = (
+                connections.is_avoided(now),
+                expected_seconds(&connections, is_nearby, now),
+            );
+            (connections, view, cost)
+        })
+        .min_by(|(_, _, a), (_, _, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    if let Some((connections, view, _)) = best {
+        return Ok((connections, view.target.id.clone()));
+    }
+    let mut retry_after = POLL_INTERVAL;
+    for view in available {
+        match take_cold_token(context, request, &view.target.id) {
+            Ok(()) => return Ok((connections_to(context, view, now), view.target.id.clone())),
+            Err(wait) => retry_after = wait,
+        }
+    }
+    Err(retry_after)
+}
+
+/// Estimates a target's response time to another request, in seconds.
+fn expected_seconds(connections: &TargetConnections, is_nearby: bool, now: Instant) -> f64 {
+    let reported = connections.load.get().map(|(load, reported_at)| {
+        let age = (now - reported_at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
+        let requests = f64::from(load.running + load.waiting) * (-age).exp();
+        (requests, load.slots)
+    });
+    let (requests, slots) = reported.unwrap_or((0.0, ASSUMED_SLOTS));
+    let estimate = TargetEstimate {
+        service_time: connections
+            .service_time
+            .get()
+            .seconds()
+            .unwrap_or(service_time::DEFAULT_SERVICE_TIME_S),
+        in_flight: requests.max(f64::from(connections.active_requests.get())),
+        slots,
+        slowdown: 1.0,
+        is_local: is_nearby,
+    };
+    estimate.response_time() * rand::random_range(COST_JITTER)
+}
+
+/// Takes a token from the target's bucket, which fills at this instance's share of the cold rate.
+fn try_take_token(
+    context: &Context,
+    service: &Service,
+    connections: &TargetConnections,
+    now: Instant,
+) -> Result<(), Duration> {
+    let rate =
+        service.cold_rate * NO_PERMIT_RATE_FACTOR / f64::from(context.instance_count.get().max(1));
+    connections.cold_tokens.borrow_mut().try_take(rate, now)
+}
+
+/// Returns whether a target's data centre has been withdrawn for `factor` times the setting
+/// `bounds.withdrawal`.
+fn is_withdrawn(context: &Context, view: &Seen, now: Instant, factor: f64) -> bool {
+    let withdrawn = context.withdrawn.borrow();
+    let limit = context.bounds.borrow().withdrawal.mul_f64(factor);
+    let since = withdrawn.get(&view.target.data_centre);
+    since.is_some_and(|since| now - *since >= limit)
+}
+
+/// Returns the connections to the current incarnation of a target.
+fn connections_to(context: &Context, view: &Seen, now: Instant) -> Rc<TargetConnections> {
+    let mut all = context.connections.borrow_mut();
+    let id = &view.target.id;
+    if let Some(known) = all.get(id).filter(|it| it.matches_target(&view.target)) {
+        return known.clone();
+    }
+    let created = Rc::new(TargetConnections::new(&view.target, now));
+    all.insert(id.clone(), created.clone());
+    created
+}
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/stop.rs
@@ -5,7 +5,7 @@
         context::Context,
         events::{self, EventFields},
         lead::leader_row,
-        serve::entry::Conns,
+        serve::server::CallerConnections,
     },
     std::time::Duration,
     tokio::{
@@ -28,7 +28,7 @@
 pub async fn drain_after_signal(
     mut signal: Signal,
     context: &Context,
-    connections: &Conns,
+    connections: &CallerConnections,
     accept_task: JoinHandle<()>,
 ) {
     signal.recv().await;
@@ -41,10 +41,10 @@
     leader_row::resign(context).await;
     sleep_until(deadline.min(started + ACCEPT_DURATION)).await;
     accept_task.abort();
-    connections.close();
+    connections.close_idle();
     // A request can outlive its caller's connection, as non-idempotent ones run to their end.
     while Instant::now() < deadline
-        && (connections.count() > 0 || context.active_requests.get() > 0)
+        && (connections.open_count() > 0 || context.active_requests.get() > 0)
     {
         sleep(POLL_INTERVAL).await;
     }
