--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -6,9 +6,9 @@
         events::{EventCode, EventFields, EventLog, Origin, logger},
         lead::keep::{LeaderState, Reports},
         metrics::Metrics,
-        peers::{datagram::Port, membership::Membership},
+        peers::{datagram::PeerSocket, membership::Membership},
         serve::{block::Blocks, line::Line, permit::Permits, route::Routes},
-        views::{news::News, seen::Targets},
+        views::{target_snapshot::TargetSnapshot, target_updates::TargetUpdates},
     },
     cowslip_adapter::{config::Config, store::Store},
     cowslip_decide::{
@@ -114,11 +114,11 @@
     /// Routes of the configuration in force.
     pub routes: RefCell<Rc<Routes>>,
     /// Targets as last read from the store or received from the leader.
-    pub targets: RefCell<Rc<Targets>>,
+    pub targets: RefCell<Rc<TargetSnapshot>>,
     /// Last known addresses of targets: one whose report has lapsed may still own keys.
     pub target_addresses: RefCell<BTreeMap<Name, TargetAddress>>,
     /// Latest changes of targets, sent to the other instances while this one leads.
-    pub target_updates: RefCell<News>,
+    pub target_updates: RefCell<TargetUpdates>,
     /// Notified when the leader's updates of targets cannot be applied and the store must be read.
     pub updates_missed: Notify,
     /// Withdrawn data centres, with the time at which this instance learned of it.
@@ -146,7 +146,7 @@
     /// it is not known or this instance did not replace the observed row.
     pub grants_expire: Cell<Option<Duration>>,
     /// UDP socket for messages between instances.
-    pub peer_socket: Port,
+    pub peer_socket: PeerSocket,
     /// Address of the leader's UDP socket.
     pub leader_address: Cell<Option<SocketAddr>>,
     /// When the leader's last heartbeat arrived.
@@ -205,7 +205,7 @@
             config_stale: Notify::new(),
             config: RefCell::default(),
             routes: RefCell::default(),
-            targets: RefCell::new(Rc::new(Targets::empty())),
+            targets: RefCell::new(Rc::new(TargetSnapshot::empty())),
             target_addresses: RefCell::default(),
             target_updates: RefCell::default(),
             updates_missed: Notify::new(),
@@ -220,7 +220,7 @@
             leader_state: Rc::default(),
             observed_row: Cell::new(None),
             grants_expire: Cell::new(None),
-            peer_socket: Port::new(socket),
+            peer_socket: PeerSocket::new(socket),
             leader_address: Cell::new(None),
             last_heartbeat: Cell::new(None),
             instance_count: Cell::new(ASSUMED_INSTANCES),
@@ -375,7 +375,7 @@
         let owners = self.owners.borrow();
         let mut sharded = config.services.iter().filter(|(_, it)| it.sharded);
         let has_owners = sharded.all(|(name, _)| owners.contains_key(name));
-        has_owners && self.targets.borrow().known() && self.stopping_since.get().is_none()
+        has_owners && self.targets.borrow().is_known() && self.stopping_since.get().is_none()
     }
 
     fn retry_budget(&self) -> RetryBudget {
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -10,7 +10,7 @@
         endpoints,
         events::{self, EventFields},
         lead::{keep, seat},
-        peers::{beat, datagram},
+        peers::{datagram, heartbeats},
         serve::{entry, permit},
         shutdown,
         views::{config, targets},
@@ -69,10 +69,10 @@
             context.record_event(events::TASK_FAILED, format!("operators' port: {error:#}"))
         }
     }
-    spawn_local(config::follow(context.clone()));
-    spawn_local(targets::follow(context.clone()));
-    spawn_local(datagram::receive(context.clone()));
-    spawn_local(beat::report(context.clone()));
+    spawn_local(config::watch_config(context.clone()));
+    spawn_local(targets::poll_targets(context.clone()));
+    spawn_local(datagram::receive_messages(context.clone()));
+    spawn_local(heartbeats::send_reports(context.clone()));
     spawn_local(permit::serve(context.clone()));
     spawn_local(seat::hold(context.clone()));
     spawn_local(keep::keep(context.clone()));
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -10,9 +10,9 @@
             standing::{Standing, standings},
         },
         peers::{
-            beat::{self, Heard, Members},
+            heartbeats::{self, MemberReport, MemberReports},
             membership::{Member, Membership},
-            message::Report,
+            message::InstanceReport,
         },
     },
     cowslip_decide::{
@@ -123,7 +123,7 @@
     /// Average time of targets' answers in milliseconds.
     paces: BTreeMap<Name, u32>,
     /// Instances that report it.
-    pub members: Members,
+    pub members: MemberReports,
 }
 
 /// Returns the time after which no grant is in force if this leader sends no more.
@@ -155,12 +155,12 @@
     let own = context.settings.listen.heartbeats;
     let reports = context.peer_reports.borrow();
     let able = reports.members.iter();
-    let able = able.filter(|(address, heard)| heard.able && **address != own);
+    let able = able.filter(|(address, heard)| heard.store_reachable && **address != own);
     let members = able.map(|(address, heard)| Member {
         address: *address,
         weight: heard.weight,
     });
-    Membership::new(members.collect()).strongest(own)
+    Membership::new(members.collect()).strongest_except(own)
 }
 
 /// Counts the members that the former leader told, so that they hear of the new one at once.
@@ -168,26 +168,26 @@
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
     for member in context.membership.borrow().members() {
-        let heard = Heard {
+        let heard = MemberReport {
             weight: member.weight,
-            able: false,
-            at: now,
+            store_reachable: false,
+            received_at: now,
         };
         reports.members.entry(member.address).or_insert(heard);
     }
 }
 
 /// Takes the load of keys that another instance reports.
-pub fn report(context: &Context, from: SocketAddr, report: Report) {
+pub fn report(context: &Context, from: SocketAddr, report: InstanceReport) {
     let mut reports = context.peer_reports.borrow_mut();
-    let heard = Heard {
+    let heard = MemberReport {
         weight: report.weight,
-        able: report.able,
-        at: Instant::now(),
+        store_reachable: report.store_reachable,
+        received_at: Instant::now(),
     };
     reports.members.insert(from, heard);
-    reports.paces.extend(report.paces);
-    for (service, keys) in report.keys {
+    reports.paces.extend(report.service_times);
+    for (service, keys) in report.key_counts {
         let loads = reports.loads.entry(service).or_default();
         for (key, requests) in keys {
             loads.add_requests(key, f64::from(requests));
@@ -230,7 +230,7 @@
         let changed = known != told && beaten.elapsed() >= BEAT_GAP * members;
         if changed || beaten.elapsed() >= BEAT {
             (beaten, told) = (Instant::now(), known);
-            beat::beat(&context).await;
+            heartbeats::send_heartbeat(&context).await;
         }
     }
 }
@@ -248,7 +248,7 @@
         let owners = context.owners.borrow();
         Self {
             config: context.operator_version.get(),
-            targets: context.targets.borrow().changed(),
+            targets: context.targets.borrow().changed_version(),
             owners: owners.values().map(|it| it.version).collect(),
         }
     }
@@ -341,7 +341,7 @@
         Some(pace) => (usual / f64::from(*pace).max(1.0)).clamp(SLOWEST, FASTEST),
         None => 1.0,
     };
-    let slots = |id: &Name| targets.get(id).map_or(1, |it| it.target.slots) as f64;
+    let slots = |id: &Name| targets.get(id).map_or(1, |it| it.report.slots) as f64;
     let open = |cold: bool| {
         let chosen = all.iter().filter(move |(_, it)| it.open && it.cold == cold);
         chosen
@@ -367,7 +367,7 @@
     }
     let listed = targets
         .all()
-        .map(|it| (it.target.address, it.target.incarnation));
+        .map(|it| (it.report.address, it.report.incarnation));
     let listed: BTreeMap<SocketAddr, u64> = listed.collect();
     let unlisted = unlisted.into_iter().filter(|life| {
         let address = context.target_address(life);
--- a/crates/cowslipcross/src/lead/seat.rs
+++ b/crates/cowslipcross/src/lead/seat.rs
@@ -176,8 +176,8 @@
 /// while it knows no members.
 fn turn(context: &Context, delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
-    let weight = membership::weight(context.settings.cpu);
-    let strongest = context.membership.borrow().strongest(own);
+    let weight = membership::cpu_weight(context.settings.cpu);
+    let strongest = context.membership.borrow().strongest_except(own);
     ClaimDelay {
         duration: stagger(context, delay),
         includes_own: strongest.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER)),
@@ -187,8 +187,8 @@
 /// Returns the time that this instance leaves to those before it.
 fn stagger(context: &Context, delay: Duration) -> Duration {
     let own = context.settings.listen.heartbeats;
-    let weak = membership::weight(context.settings.cpu) < STRONG;
-    match context.membership.borrow().rank(own) {
+    let weak = membership::cpu_weight(context.settings.cpu) < STRONG;
+    match context.membership.borrow().position(own) {
         Some(rank) => (STAGGER * rank as u32).min(LONGEST_STAGGER),
         None if weak => FIRST + delay,
         None => delay,
@@ -201,7 +201,7 @@
     if !context.is_leader() || settled.is_none_or(|since| since.elapsed() < SETTLED) {
         return false;
     }
-    let own = membership::weight(context.settings.cpu);
+    let own = membership::cpu_weight(context.settings.cpu);
     let successor = keep::successor(context);
     let stronger = successor.is_some_and(|it| it.weight >= own.saturating_mul(STRONGER));
     if stronger {
@@ -484,7 +484,7 @@
     };
     context.record_event(events::LEADERSHIP_LOST, detail);
     if let Some(successor) = keep::successor(context) {
-        datagram::send_now(context, &Message::Lead, successor.address);
+        datagram::try_send(context, &Message::LeadershipOffer, successor.address);
     }
 }
 
--- a/crates/cowslipcross/src/lead/standing.rs
+++ b/crates/cowslipcross/src/lead/standing.rs
@@ -1,7 +1,7 @@
 //! Which targets may own keys.
 
 use {
-    crate::{context::Context, views::seen::Seen},
+    crate::{context::Context, views::target_snapshot::TargetView},
     cowslip_decide::names::Name,
     std::collections::BTreeMap,
     tokio::time::Instant,
@@ -23,14 +23,14 @@
     let now = Instant::now();
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
-    let standing = |seen: &Seen| {
-        let target = &seen.target;
+    let standing = |seen: &TargetView| {
+        let target = &seen.report;
         let standing = Standing {
             born: target.incarnation,
-            open: seen.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
+            open: seen.draining_since.is_none() && !withdrawn.contains_key(&target.data_centre),
             cold: seen.is_cold(now),
         };
         (target.id.clone(), standing)
     };
-    targets.of(service).map(standing).collect()
+    targets.for_service(service).map(standing).collect()
 }
--- a/crates/cowslipcross/src/peers.rs
+++ b/crates/cowslipcross/src/peers.rs
@@ -3,9 +3,9 @@
 //! Nothing depends on a datagram's arrival: who hears no leader reads the store instead, keys of
 //! unknown load are spread evenly, and who hears of no permit sends without one.
 
-pub mod beat;
+mod assignment_updates;
 pub mod datagram;
 mod fragments;
+pub mod heartbeats;
 pub mod membership;
 pub mod message;
-mod owners;
--- a/crates/cowslipcross/src/peers/owners.rs
+++ b/crates/cowslipcross/src/peers/assignment_updates.rs
@@ -6,7 +6,7 @@
         events,
         peers::{
             datagram,
-            message::{Message, Recorded},
+            message::{AssignmentUpdate, Message},
         },
     },
     cowslip_decide::{
@@ -29,7 +29,7 @@
 const MOST_SENT: usize = 700;
 
 /// Returns the owners at hand by service, with what a fresh record changed.
-pub fn versions(context: &Context) -> BTreeMap<Name, Recorded> {
+pub fn current_updates(context: &Context) -> BTreeMap<Name, AssignmentUpdate> {
     let owners = context.owners.borrow();
     let recorded = owners.iter().map(|(name, it)| {
         let fresh = it
@@ -37,13 +37,13 @@
             .as_ref()
             .filter(|change| change.recorded_at.elapsed() < FRESH);
         let told = fresh.filter(|change| change.assignments.len() <= MOST_TOLD);
-        let recorded = Recorded {
+        let recorded = AssignmentUpdate {
             version: it.version,
-            base: told.map_or(0, |change| change.base_version),
-            pieces: told.map_or_else(Vec::new, |it| {
+            base_version: told.map_or(0, |change| change.base_version),
+            assignments: told.map_or_else(Vec::new, |it| {
                 it.assignments.iter().map(Into::into).collect()
             }),
-            large: it.table.assignments.len() > MOST_SENT,
+            too_large: it.table.assignments.len() > MOST_SENT,
         };
         (name.clone(), recorded)
     });
@@ -51,71 +51,80 @@
 }
 
 /// Takes over newer owners from the change that came along; without it the leader is asked.
-pub fn follow(context: &Context, service: &Name, recorded: &Recorded, leader: SocketAddr) {
+pub fn apply_update(
+    context: &Context,
+    service: &Name,
+    update: &AssignmentUpdate,
+    leader: SocketAddr,
+) {
     let owners = context.owners.borrow();
     let known = owners.get(service);
-    if known.is_some_and(|it| it.version >= recorded.version) {
+    if known.is_some_and(|it| it.version >= update.version) {
         return;
     }
-    let fits = known.filter(|it| it.version == recorded.base);
+    let fits = known.filter(|it| it.version == update.base_version);
     let Some(known) = fits else {
         drop(owners);
-        return ask(context, service, (recorded.large, leader));
+        return request_assignments(context, service, (update.too_large, leader));
     };
     let mut table = (*known.table).clone();
     drop(owners);
-    let pieces: Vec<Assignment> = recorded.pieces.iter().map(Assignment::from).collect();
+    let pieces: Vec<Assignment> = update.assignments.iter().map(Assignment::from).collect();
     table.apply_changes(&pieces);
-    adopt(context, service, recorded.version, table);
+    set_assignments(context, service, update.version, table);
 }
 
 /// Asks the leader for all owners of a service, or the store if they are many, unless that was done
 /// just now.
-fn ask(context: &Context, service: &Name, (large, leader): (bool, SocketAddr)) {
+fn request_assignments(context: &Context, service: &Name, (large, leader): (bool, SocketAddr)) {
     let (asks, asked) = context.owner_requests.get();
     if asked.is_some_and(|at| at.elapsed() < AGAIN) {
         return;
     }
     context.owner_requests.set((asks + 1, Some(Instant::now())));
     match asks < MOST_ASKS && !large {
-        true => datagram::send_now(context, &Message::Missed(service.clone()), leader),
+        true => datagram::try_send(
+            context,
+            &Message::AssignmentsRequest(service.clone()),
+            leader,
+        ),
         false => context.refresh_requested.notify_one(),
     }
 }
 
 /// Answers one that has missed changes, if this instance is the leader.
-pub fn missed(context: &Context, service: &Name, from: SocketAddr) {
+pub fn handle_request(context: &Context, service: &Name, from: SocketAddr) {
     let owners = context.owners.borrow();
     let Some(known) = owners.get(service).filter(|_| context.is_leader()) else {
         return;
     };
-    let recorded = Recorded {
+    let recorded = AssignmentUpdate {
         version: known.version,
-        base: 0,
-        large: false,
-        pieces: known.table.assignments.iter().map(Into::into).collect(),
+        base_version: 0,
+        too_large: false,
+        assignments: known.table.assignments.iter().map(Into::into).collect(),
     };
-    let message = Message::Owners(service.clone(), recorded);
-    datagram::send_now(context, &message, from);
+    let message = Message::Assignments(service.clone(), recorded);
+    datagram::try_send(context, &message, from);
 }
 
 /// Takes over all owners of a service, if they are newer.
-pub fn replace(context: &Context, service: &Name, recorded: &Recorded) {
+pub fn handle_response(context: &Context, service: &Name, update: &AssignmentUpdate) {
     let owners = context.owners.borrow();
     let known = owners.get(service).map_or(0, |it| it.version);
     drop(owners);
-    let pieces: Vec<Assignment> = recorded.pieces.iter().map(Assignment::from).collect();
+    let pieces: Vec<Assignment> = update.assignments.iter().map(Assignment::from).collect();
     let fence = pieces.iter().map(|it| it.fence).max();
     let table = AssignmentTable {
         highest_fence: fence.unwrap_or(Fence(0)),
         assignments: pieces,
     };
-    if recorded.version > known && table.is_complete() && !context.is_leader() {
-        adopt(context, service, recorded.version, table);
+    if update.version > known && table.is_complete() && !context.is_leader() {
+        set_assignments(context, service, update.version, table);
     }
 }
 
-fn adopt(context: &Context, service: &Name, version: u64, table: AssignmentTable) {
+fn set_assignments(context: &Context, service: &Name, version: u64, table: AssignmentTable) {
     let detail = format!(
         "service {service}, version {version}, {} pieces, from the leader",
         table.assignments.len()
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -4,10 +4,10 @@
     crate::{
         context::Context,
         peers::{
-            beat,
+            assignment_updates,
             fragments::{self, Fragments},
+            heartbeats,
             message::Message,
-            owners,
         },
         serve::permit,
     },
@@ -22,12 +22,12 @@
 const PAUSE: Duration = Duration::from_millis(500);
 
 /// Socket for messages.
-pub struct Port {
+pub struct PeerSocket {
     socket: UdpSocket,
     next: Cell<u32>,
 }
 
-impl Port {
+impl PeerSocket {
     /// Creates the port of a socket.
     pub fn new(socket: UdpSocket) -> Self {
         Self {
@@ -46,7 +46,7 @@
 }
 
 /// Takes messages of other instances for ever.
-pub async fn receive(context: Rc<Context>) {
+pub async fn receive_messages(context: Rc<Context>) {
     let mut buffer = vec![0; 2 * fragments::LONGEST];
     let mut fragments = Fragments::default();
     loop {
@@ -66,18 +66,22 @@
 
 fn take(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Beat(heartbeat) => beat::hear(context, heartbeat, from),
-        Message::Members(members) => beat::join(context, &members),
-        Message::Missed(service) => owners::missed(context, &service, from),
-        Message::Owners(service, recorded) => owners::replace(context, &service, &recorded),
-        Message::Lead => context.refresh_requested.notify_one(),
-        Message::Report(report) => beat::reported(context, report, from),
+        Message::Heartbeat(heartbeat) => heartbeats::handle_heartbeat(context, heartbeat, from),
+        Message::Members(members) => heartbeats::update_membership(context, &members),
+        Message::AssignmentsRequest(service) => {
+            assignment_updates::handle_request(context, &service, from)
+        }
+        Message::Assignments(service, recorded) => {
+            assignment_updates::handle_response(context, &service, &recorded)
+        }
+        Message::LeadershipOffer => context.refresh_requested.notify_one(),
+        Message::Report(report) => heartbeats::handle_report(context, report, from),
         about_permits => permit::take(context, about_permits, from),
     }
 }
 
 /// Sends a message unless that would have to wait; datagrams may be lost anyway.
-pub fn send_now(context: &Context, message: &Message, to: SocketAddr) {
+pub fn try_send(context: &Context, message: &Message, to: SocketAddr) {
     let Some(datagrams) = context.peer_socket.datagrams(message) else {
         return context.metrics.count_bad_datagram();
     };
@@ -94,7 +98,7 @@
 }
 
 /// Sends a message to several instances, one after the other.
-pub async fn send_all(context: &Context, message: &Message, to: &[SocketAddr]) {
+pub async fn send_to_all(context: &Context, message: &Message, to: &[SocketAddr]) {
     let Some(datagrams) = context.peer_socket.datagrams(message) else {
         return context.metrics.count_bad_datagram();
     };
--- a/crates/cowslipcross/src/peers/beat.rs
+++ b/crates/cowslipcross/src/peers/heartbeats.rs
@@ -7,13 +7,12 @@
         events::HybridTimestamp,
         lead::keep,
         peers::{
-            datagram,
+            assignment_updates, datagram,
             membership::{self, Member, Membership},
-            message::{Heartbeat, Message, Report},
-            owners,
+            message::{Heartbeat, InstanceReport, Message},
         },
         serve::permit,
-        views::{news, targets},
+        views::{target_updates, targets},
     },
     cowslip_decide::names::Name,
     std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
@@ -28,89 +27,89 @@
 const FORGOTTEN: Duration = Duration::from_secs(4);
 
 /// Instances that sent a report.
-pub type Members = BTreeMap<SocketAddr, Heard>;
+pub type MemberReports = BTreeMap<SocketAddr, MemberReport>;
 
 /// What an instance reported last.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct MemberReport {
     /// Its weight.
     pub weight: u8,
     /// Whether the store answered it.
-    pub able: bool,
+    pub store_reachable: bool,
     /// When the report came.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// Takes a heartbeat.
-pub fn hear(context: &Context, beat: Heartbeat, from: SocketAddr) {
+pub fn handle_heartbeat(context: &Context, heartbeat: Heartbeat, from: SocketAddr) {
     context
         .events
-        .observe_timestamp(HybridTimestamp::from(beat.stamp));
+        .observe_timestamp(HybridTimestamp::from(heartbeat.timestamp));
     let mut lead = context.election.borrow_mut();
-    if beat.seat < lead.row_version() {
+    if heartbeat.row_version < lead.row_version() {
         return;
     }
-    lead.apply_heartbeat(beat.seat, clock::local_time());
+    lead.apply_heartbeat(heartbeat.row_version, clock::local_time());
     drop(lead);
     context.leader_address.set(Some(from));
     context.last_heartbeat.set(Some(Instant::now()));
-    context.instance_count.set(beat.instances.max(1));
-    context.update_reported_version(beat.config);
-    for (service, recorded) in &beat.owners {
-        owners::follow(context, service, recorded, from);
+    context.instance_count.set(heartbeat.instance_count.max(1));
+    context.update_reported_version(heartbeat.operator_version);
+    for (service, recorded) in &heartbeat.assignments {
+        assignment_updates::apply_update(context, service, recorded, from);
     }
-    targets::hear(context, beat.targets);
+    targets::apply_update(context, heartbeat.target_updates);
 }
 
 /// Takes the members that the leader tells.
-pub fn join(context: &Context, text: &str) {
-    match Membership::read(text) {
+pub fn update_membership(context: &Context, text: &str) {
+    match Membership::decode(text) {
         Some(membership) => *context.membership.borrow_mut() = membership,
         None => context.metrics.count_bad_datagram(),
     }
 }
 
 /// Takes a report, and tells its sender the members if it knows others.
-pub fn reported(context: &Context, report: Report, from: SocketAddr) {
+pub fn handle_report(context: &Context, report: InstanceReport, from: SocketAddr) {
     context
         .events
-        .observe_timestamp(HybridTimestamp::from(report.stamp));
-    context.update_reported_version(report.config);
-    let known = report.membership == context.membership.borrow().hash();
+        .observe_timestamp(HybridTimestamp::from(report.timestamp));
+    context.update_reported_version(report.operator_version);
+    let known = report.membership_hash == context.membership.borrow().hash();
     keep::report(context, from, report);
     if context.is_leader() && !known {
-        let text = context.membership.borrow().text();
-        datagram::send_now(context, &Message::Members(text), from);
+        let text = context.membership.borrow().encode();
+        datagram::try_send(context, &Message::Members(text), from);
     }
 }
 
 /// Tells the leader the load of keys for ever.
-pub async fn report(context: Rc<Context>) {
-    let weight = membership::weight(context.settings.cpu);
+pub async fn send_reports(context: Rc<Context>) {
+    let weight = membership::cpu_weight(context.settings.cpu);
     loop {
         sleep(REPORT).await;
         // Old keys say little, so they go where there is no leader, too.
-        let report = Report {
-            stamp: context.events.next_timestamp().into(),
+        let report = InstanceReport {
+            timestamp: context.events.next_timestamp().into(),
             weight,
-            able: context.store_reachable.get(),
-            membership: context.membership.borrow().hash(),
-            config: context.operator_version.get(),
-            keys: drain(&context),
-            paces: permit::paces(&context),
+            store_reachable: context.store_reachable.get(),
+            membership_hash: context.membership.borrow().hash(),
+            operator_version: context.operator_version.get(),
+            key_counts: take_key_counts(&context),
+            service_times: permit::paces(&context),
         };
         match context.leader_address.get() {
             Some(own) if own == context.settings.listen.heartbeats => {
-                reported(&context, report, own);
+                handle_report(&context, report, own);
             }
-            Some(leader) => datagram::send_now(&context, &Message::Report(report), leader),
+            Some(leader) => datagram::try_send(&context, &Message::Report(report), leader),
             None => {}
         }
     }
 }
 
 /// Sends heartbeats to all that reported of late.
-pub async fn beat(context: &Context) {
+pub async fn send_heartbeat(context: &Context) {
     let membership = Membership::new(members(context));
     let count = membership.members().len().max(1) as u32;
     // A new leader has not heard of all yet, and a share that is too large does harm.
@@ -119,20 +118,20 @@
         _ => count,
     };
     context.instance_count.set(count);
-    let message = Message::Beat(Heartbeat {
-        stamp: context.events.next_timestamp().into(),
-        seat: context.election.borrow().row_version(),
-        owners: owners::versions(context),
-        instances: count,
-        membership: membership.hash(),
-        config: context.operator_version.get(),
-        targets: news::tell(context),
+    let message = Message::Heartbeat(Heartbeat {
+        timestamp: context.events.next_timestamp().into(),
+        row_version: context.election.borrow().row_version(),
+        assignments: assignment_updates::current_updates(context),
+        instance_count: count,
+        membership_hash: membership.hash(),
+        operator_version: context.operator_version.get(),
+        target_updates: target_updates::next_message(context),
     });
     let own = context.settings.listen.heartbeats;
     let others = membership.members().iter().map(|it| it.address);
     let others: Vec<SocketAddr> = others.filter(|it| *it != own).collect();
     *context.membership.borrow_mut() = membership;
-    datagram::send_all(context, &message, &others).await;
+    datagram::send_to_all(context, &message, &others).await;
 }
 
 /// Returns the instances that reported of late.
@@ -141,7 +140,7 @@
     let mut reports = context.peer_reports.borrow_mut();
     reports
         .members
-        .retain(|_, heard| now - heard.at < FORGOTTEN);
+        .retain(|_, heard| now - heard.received_at < FORGOTTEN);
     let members = reports.members.iter();
     let members = members.map(|(address, heard)| Member {
         address: *address,
@@ -151,7 +150,7 @@
 }
 
 /// Takes the keys of requests since the last report, for each service the busiest.
-fn drain(context: &Context) -> BTreeMap<Name, Vec<(u16, u32)>> {
+fn take_key_counts(context: &Context) -> BTreeMap<Name, Vec<(u16, u32)>> {
     let sample = context.key_counts.take();
     let busiest = |keys: BTreeMap<u16, u32>| {
         let mut keys: Vec<_> = keys.into_iter().collect();
--- a/crates/cowslipcross/src/peers/membership.rs
+++ b/crates/cowslipcross/src/peers/membership.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns the weight of an instance with this part of a core.
-pub fn weight(cores: f64) -> u8 {
+pub fn cpu_weight(cores: f64) -> u8 {
     (cores * CORE).clamp(1.0, f64::from(u8::MAX)) as u8
 }
 
@@ -56,7 +56,11 @@
     /// Returns the member among those that `open` admits to whom a name belongs.
     ///
     /// Members get names by their weight; one that joins or leaves changes only its own.
-    pub fn holder(&self, name: &str, open: impl Fn(&SocketAddr) -> bool) -> Option<SocketAddr> {
+    pub fn select_coordinator(
+        &self,
+        name: &str,
+        open: impl Fn(&SocketAddr) -> bool,
+    ) -> Option<SocketAddr> {
         let members = self.members.iter().filter(|it| open(&it.address));
         let score = |member: &Member| {
             let hash = xxh3_64(format!("{name} {}", member.address).as_bytes());
@@ -69,7 +73,7 @@
     }
 
     /// Returns how many members come before one, the strongest first; `None` if it is no member.
-    pub fn rank(&self, address: SocketAddr) -> Option<usize> {
+    pub fn position(&self, address: SocketAddr) -> Option<usize> {
         let place = |member: &Member| (Reverse(member.weight), member.address);
         let own = self.members.iter().find(|it| it.address == address)?;
         let before = self.members.iter().filter(|it| place(it) < place(own));
@@ -77,7 +81,7 @@
     }
 
     /// Returns the strongest member but one.
-    pub fn strongest(&self, but: SocketAddr) -> Option<Member> {
+    pub fn strongest_except(&self, but: SocketAddr) -> Option<Member> {
         let others = self.members.iter().filter(|it| it.address != but);
         others
             .min_by_key(|it| (Reverse(it.weight), it.address))
@@ -85,12 +89,12 @@
     }
 
     /// Returns the members as a text.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         BASE64_STANDARD_NO_PAD.encode(pack(&self.members))
     }
 
     /// Reads the members from a text; `None` if it cannot be one.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn decode(text: &str) -> Option<Self> {
         let bytes = BASE64_STANDARD_NO_PAD.decode(text).ok()?;
         let (members, rest) = bytes.as_chunks::<PACKED>();
         rest.is_empty()
--- a/crates/cowslipcross/src/peers/membership_tests.rs
+++ b/crates/cowslipcross/src/peers/membership_tests.rs
@@ -1,7 +1,7 @@
 //! Members as a text, and what belongs to whom.
 
 use {
-    super::{Member, Membership, weight},
+    super::{Member, Membership, cpu_weight},
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
@@ -22,13 +22,13 @@
     for count in [0, 1, 77, 250] {
         let membership = membership(&vec![20; count]);
         assert_eq!(
-            Membership::read(&membership.text()),
+            Membership::decode(&membership.encode()),
             Some(membership.clone())
         );
         assert_eq!(membership.members().len(), count);
     }
-    assert_eq!(Membership::read("????"), None);
-    assert_eq!(Membership::read("AAAA"), None);
+    assert_eq!(Membership::decode("????"), None);
+    assert_eq!(Membership::decode("AAAA"), None);
     assert_ne!(membership(&[20, 20]).hash(), membership(&[20, 21]).hash());
 }
 
@@ -37,7 +37,7 @@
     let membership = membership(&[10, 10, 10, 10, 50, 50]);
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for number in 0..7000 {
-        let holder = membership.holder(&format!("b{number}"), |_| true);
+        let holder = membership.select_coordinator(&format!("b{number}"), |_| true);
         *counts.entry(holder.expect("a member")).or_default() += 1;
     }
     for member in membership.members() {
@@ -56,16 +56,19 @@
     let gone = membership.members()[4].address;
     for number in 0..500 {
         let name = format!("b{number}");
-        let before = membership.holder(&name, |_| true);
-        let after = membership.holder(&name, |it| *it != gone);
+        let before = membership.select_coordinator(&name, |_| true);
+        let after = membership.select_coordinator(&name, |it| *it != gone);
         assert!(before == after || before == Some(gone));
     }
-    assert_eq!(Membership::default().holder("b", |_| true), None);
+    assert_eq!(
+        Membership::default().select_coordinator("b", |_| true),
+        None
+    );
 }
 
 #[test]
 fn weights_stay_within_a_byte() {
-    assert_eq!([0.0, 0.1, 1.0, 64.0].map(weight), [1, 10, 100, 255]);
+    assert_eq!([0.0, 0.1, 1.0, 64.0].map(cpu_weight), [1, 10, 100, 255]);
 }
 
 #[test]
@@ -74,12 +77,15 @@
     let ranks = membership
         .members()
         .iter()
-        .map(|it| membership.rank(it.address));
+        .map(|it| membership.position(it.address));
     assert_eq!(ranks.collect::<Vec<_>>(), [2, 0, 3, 1].map(Some));
     let first = membership.members()[1];
     assert_eq!(
-        membership.strongest(first.address),
+        membership.strongest_except(first.address),
         Some(membership.members()[3])
     );
-    assert_eq!(membership.rank(SocketAddr::from(([9, 9, 9, 9], 1))), None);
+    assert_eq!(
+        membership.position(SocketAddr::from(([9, 9, 9, 9], 1))),
+        None
+    );
 }
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -3,7 +3,7 @@
 //! Names on the wire are single letters: permits are asked for with every request.
 
 use {
-    crate::views::news::WireNews,
+    crate::views::target_updates::TargetUpdateMessage,
     cowslip_decide::{
         names::{Fence, Name},
         owners::{Assignment, TargetIncarnation},
@@ -17,25 +17,25 @@
 pub enum Message {
     /// From the leader to all.
     #[serde(rename = "b")]
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     /// From the leader to one that knows other members.
     #[serde(rename = "m")]
     Members(String),
     /// To the leader from one that has missed changes of a service's owners.
     #[serde(rename = "w")]
-    Missed(Name),
+    AssignmentsRequest(Name),
     /// From the leader: all owners of a service's keys.
     #[serde(rename = "o")]
-    Owners(Name, Recorded),
+    Assignments(Name, AssignmentUpdate),
     /// From a leader that has given its row up, to the one that should take it.
     #[serde(rename = "l")]
-    Lead,
+    LeadershipOffer,
     /// From an instance to the leader.
     #[serde(rename = "r")]
-    Report(Report),
+    Report(InstanceReport),
     /// Question for a permit to send.
     #[serde(rename = "a")]
-    Ask {
+    PermitRequest {
         /// Number of the question at the instance that asks.
         #[serde(rename = "n")]
         number: u64,
@@ -47,23 +47,23 @@
         target: Option<Name>,
         /// Rank of the request.
         #[serde(rename = "r")]
-        rank: u8,
+        priority: u8,
         /// Milliseconds until its deadline.
         #[serde(rename = "l")]
-        left: u64,
+        deadline_ms: u64,
         /// Milliseconds within which its answer earns its full worth.
         #[serde(rename = "g")]
-        goal: u64,
+        goal_ms: u64,
         /// Data centre of the instance that asks.
         #[serde(rename = "z")]
         data_centre: Name,
         /// Targets that did not serve it before.
         #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-        tried: Vec<Name>,
+        excluded: Vec<Name>,
     },
     /// Permit to send.
     #[serde(rename = "p")]
-    Granted {
+    PermitGranted {
         /// Number of the question.
         #[serde(rename = "n")]
         number: u64,
@@ -73,24 +73,24 @@
     },
     /// The request waits for a permit.
     #[serde(rename = "q")]
-    Queued {
+    PermitQueued {
         /// Number of the question.
         #[serde(rename = "n")]
         number: u64,
     },
     /// The request cannot be served in time.
     #[serde(rename = "x")]
-    Refused {
+    PermitRefused {
         /// Number of the question.
         #[serde(rename = "n")]
         number: u64,
         /// Milliseconds after which it should come back.
         #[serde(rename = "w")]
-        wait: u64,
+        wait_ms: u64,
     },
     /// A permit is given back, or the question for one withdrawn.
     #[serde(rename = "d")]
-    Done {
+    PermitReturned {
         /// Number of the question.
         #[serde(rename = "n")]
         number: u64,
@@ -99,7 +99,7 @@
         outcome: u8,
         /// Momentary slowness that the target told.
         #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-        slowness: Option<f64>,
+        slowdown: Option<f64>,
     },
 }
 
@@ -108,75 +108,75 @@
 pub struct Heartbeat {
     /// Time of the sender's logical clock.
     #[serde(rename = "c")]
-    pub stamp: u64,
+    pub timestamp: u64,
     /// Version of the leader's row.
     #[serde(rename = "s")]
-    pub seat: u64,
+    pub row_version: u64,
     /// Versions of the owners by service, with what changed last.
     #[serde(rename = "o")]
-    pub owners: BTreeMap<Name, Recorded>,
+    pub assignments: BTreeMap<Name, AssignmentUpdate>,
     /// Instances that the leader assumes.
     #[serde(rename = "i")]
-    pub instances: u32,
+    pub instance_count: u32,
     /// Hash of the members.
     #[serde(rename = "h")]
-    pub membership: u32,
+    pub membership_hash: u32,
     /// Version of the operators' last change that the leader knows.
     #[serde(rename = "v")]
-    pub config: u64,
+    pub operator_version: u64,
     /// What the leader knows of the targets.
     #[serde(rename = "t")]
-    pub targets: WireNews,
+    pub target_updates: TargetUpdateMessage,
 }
 
 /// What an instance tells the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct InstanceReport {
     /// Time of the sender's logical clock.
     #[serde(rename = "c")]
-    pub stamp: u64,
+    pub timestamp: u64,
     /// Weight of the instance.
     #[serde(rename = "w")]
     pub weight: u8,
     /// Whether the store answered it last.
     #[serde(rename = "a")]
-    pub able: bool,
+    pub store_reachable: bool,
     /// Hash of the members that it knows.
     #[serde(rename = "h")]
-    pub membership: u32,
+    pub membership_hash: u32,
     /// Version of the operators' last change that it knows.
     #[serde(rename = "v")]
-    pub config: u64,
+    pub operator_version: u64,
     /// Keys with the number of requests, by service.
     #[serde(rename = "k")]
-    pub keys: BTreeMap<Name, Vec<(u16, u32)>>,
+    pub key_counts: BTreeMap<Name, Vec<(u16, u32)>>,
     /// Average time of the answers of targets in milliseconds.
     #[serde(rename = "p")]
-    pub paces: BTreeMap<Name, u32>,
+    pub service_times: BTreeMap<Name, u32>,
 }
 
 /// Version of the recorded owners of a service, and what a fresh record changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct AssignmentUpdate {
     /// Version.
     #[serde(rename = "v")]
     pub version: u64,
     /// Version before the change.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
-    pub base: u64,
+    pub base_version: u64,
     /// Pieces that are new.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub pieces: Vec<WirePiece>,
+    pub assignments: Vec<WireAssignment>,
     /// Whether one that has missed changes reads the store, as there is too much to tell.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
-    pub large: bool,
+    pub too_large: bool,
 }
 
 /// First key, last key, owner with the time of its start, fence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WirePiece(u16, u16, Option<(Name, u64)>, u64);
+pub struct WireAssignment(u16, u16, Option<(Name, u64)>, u64);
 
-impl From<&Assignment> for WirePiece {
+impl From<&Assignment> for WireAssignment {
     fn from(piece: &Assignment) -> Self {
         let owner = piece
             .owner
@@ -186,9 +186,9 @@
     }
 }
 
-impl From<&WirePiece> for Assignment {
-    fn from(wire: &WirePiece) -> Self {
-        let WirePiece(first, last, owner, fence) = wire.clone();
+impl From<&WireAssignment> for Assignment {
+    fn from(wire: &WireAssignment) -> Self {
+        let WireAssignment(first, last, owner, fence) = wire.clone();
         Self {
             first,
             last,
--- a/crates/cowslipcross/src/serve/choose.rs
+++ b/crates/cowslipcross/src/serve/choose.rs
@@ -4,7 +4,7 @@
     crate::{
         context::Context,
         serve::{line::Line, request::Request},
-        views::seen::{Seen, Targets},
+        views::target_snapshot::{TargetSnapshot, TargetView},
     },
     cowslip_adapter::config::Service,
     cowslip_decide::{
@@ -64,7 +64,7 @@
 fn owner(
     context: &Context,
     request: &Request,
-    (targets, key): (&Targets, u16),
+    (targets, key): (&TargetSnapshot, u16),
     now: Instant,
 ) -> Choice {
     let owners = context.owners.borrow();
@@ -84,15 +84,15 @@
     };
     let Some(seen) = targets
         .get(&life.id)
-        .filter(|it| it.target.incarnation == life.incarnation)
+        .filter(|it| it.report.incarnation == life.incarnation)
     else {
         return Choice::Wait(LOOK);
     };
     let left = |since: Instant| now - since > OWNER_LEAVING;
-    if seen.leaving.is_some_and(left) || is_withdrawn(context, seen, now, OWNER_WITHDRAWN) {
+    if seen.draining_since.is_some_and(left) || is_withdrawn(context, seen, now, OWNER_WITHDRAWN) {
         return Choice::Wait(LOOK);
     }
-    Choice::Owner(line(context, seen, now), seen.target.id.clone())
+    Choice::Owner(line(context, seen, now), seen.report.id.clone())
 }
 
 /// Returns the connections to a target of an undivided service, if this instance may send to it.
@@ -108,8 +108,8 @@
 }
 
 /// Returns whether a target of an undivided service may get new work.
-fn is_open(context: &Context, seen: &Seen, now: Instant) -> bool {
-    seen.leaving.is_none() && !is_withdrawn(context, seen, now, 0.0)
+fn is_open(context: &Context, seen: &TargetView, now: Instant) -> bool {
+    seen.draining_since.is_none() && !is_withdrawn(context, seen, now, 0.0)
 }
 
 /// Takes the part of a cold target's rate that is this instance's without a permit.
@@ -141,27 +141,27 @@
 ) -> Result<(Rc<Line>, Name), Duration> {
     let now = Instant::now();
     let targets = context.targets.borrow().clone();
-    let open: Vec<&Seen> = targets
-        .of(&request.service)
+    let open: Vec<&TargetView> = targets
+        .for_service(&request.service)
         .filter(|seen| is_open(context, seen, now))
-        .filter(|seen| !tried.contains(&seen.target.id))
+        .filter(|seen| !tried.contains(&seen.report.id))
         .collect();
     let warm = open.iter().filter(|seen| !seen.is_cold(now));
     let best = warm
         .map(|seen| {
             let line = line(context, seen, now);
-            let near = seen.target.data_centre == context.settings.data_centre;
+            let near = seen.report.data_centre == context.settings.data_centre;
             let cost = (line.is_avoided(now), time(&line, near, now));
             (line, seen, cost)
         })
         .min_by(|(_, _, a), (_, _, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     if let Some((line, seen, _)) = best {
-        return Ok((line, seen.target.id.clone()));
+        return Ok((line, seen.report.id.clone()));
     }
     let mut wait = LOOK;
     for seen in open {
-        match cold_share(context, request, &seen.target.id) {
-            Ok(()) => return Ok((line(context, seen, now), seen.target.id.clone())),
+        match cold_share(context, request, &seen.report.id) {
+            Ok(()) => return Ok((line(context, seen, now), seen.report.id.clone())),
             Err(time) => wait = time,
         }
     }
@@ -203,21 +203,21 @@
 }
 
 /// Returns whether the target's data centre is withdrawn for longer than a part of the bound.
-fn is_withdrawn(context: &Context, seen: &Seen, now: Instant, part: f64) -> bool {
+fn is_withdrawn(context: &Context, seen: &TargetView, now: Instant, part: f64) -> bool {
     let withdrawn = context.withdrawn.borrow();
     let limit = context.bounds.borrow().withdrawal.mul_f64(part);
-    let since = withdrawn.get(&seen.target.data_centre);
+    let since = withdrawn.get(&seen.report.data_centre);
     since.is_some_and(|since| now - *since >= limit)
 }
 
 /// Returns the connections to the present run of a target.
-fn line(context: &Context, seen: &Seen, now: Instant) -> Rc<Line> {
+fn line(context: &Context, seen: &TargetView, now: Instant) -> Rc<Line> {
     let mut lines = context.connections.borrow_mut();
-    let id = &seen.target.id;
-    if let Some(line) = lines.get(id).filter(|line| line.is_to(&seen.target)) {
+    let id = &seen.report.id;
+    if let Some(line) = lines.get(id).filter(|line| line.is_to(&seen.report)) {
         return line.clone();
     }
-    let line = Rc::new(Line::new(&seen.target, now));
+    let line = Rc::new(Line::new(&seen.report, now));
     lines.insert(id.clone(), line.clone());
     line
 }
--- a/crates/cowslipcross/src/serve/permit.rs
+++ b/crates/cowslipcross/src/serve/permit.rs
@@ -84,10 +84,10 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let message = Message::Done {
+        let message = Message::PermitReturned {
             number: self.number,
             outcome: outcome_code(self.outcome.get()),
-            slowness: self.slowness.get(),
+            slowdown: self.slowness.get(),
         };
         self.context
             .permits
@@ -170,15 +170,15 @@
 ) -> Message {
     let now = Instant::now();
     let left = |until: Instant| until.saturating_duration_since(now).as_millis() as u64;
-    Message::Ask {
+    Message::PermitRequest {
         number,
         service: pool.0.clone(),
         target: pool.1.clone(),
-        rank: request.route.priority,
-        left: left(request.deadline),
-        goal: left(request.arrived + request.route.latency_goal),
+        priority: request.route.priority,
+        deadline_ms: left(request.deadline),
+        goal_ms: left(request.arrived + request.route.latency_goal),
         data_centre: context.settings.data_centre.clone(),
-        tried: tried.to_vec(),
+        excluded: tried.to_vec(),
     }
 }
 
@@ -205,44 +205,46 @@
     let open = |member: &SocketAddr| silent.get(member).is_none_or(|until| *until <= now);
     let target = pool.1.as_deref().unwrap_or_default();
     let membership = context.membership.borrow();
-    membership.holder(&format!("{} {target}", pool.0), open)
+    membership.select_coordinator(&format!("{} {target}", pool.0), open)
 }
 
 /// Takes a datagram about permits.
 pub fn take(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Ask {
+        Message::PermitRequest {
             number,
             service,
             target,
-            rank,
-            left,
-            goal,
+            priority,
+            deadline_ms,
+            goal_ms,
             data_centre,
-            tried,
+            excluded,
         } => {
             let now = Instant::now();
             let ask = PermitRequest {
-                priority: rank,
-                latency_goal: now + Duration::from_millis(goal),
-                deadline: now + Duration::from_millis(left),
+                priority,
+                latency_goal: now + Duration::from_millis(goal_ms),
+                deadline: now + Duration::from_millis(deadline_ms),
                 data_centre,
-                excluded: tried,
+                excluded,
             };
             asked(context, (from, number), (service, target), ask);
         }
-        Message::Done {
+        Message::PermitReturned {
             number,
             outcome,
-            slowness,
-        } => returned(context, &(from, number), code_outcome(outcome), slowness),
-        Message::Granted { number, target } => told(context, number, PermitReply::Granted(target)),
-        Message::Queued { number } => told(context, number, PermitReply::Queued),
-        Message::Refused { number, wait } => {
+            slowdown,
+        } => returned(context, &(from, number), code_outcome(outcome), slowdown),
+        Message::PermitGranted { number, target } => {
+            told(context, number, PermitReply::Granted(target))
+        }
+        Message::PermitQueued { number } => told(context, number, PermitReply::Queued),
+        Message::PermitRefused { number, wait_ms } => {
             told(
                 context,
                 number,
-                PermitReply::Refused(Duration::from_millis(wait)),
+                PermitReply::Refused(Duration::from_millis(wait_ms)),
             );
         }
         _ => {}
@@ -348,11 +350,11 @@
 
 fn answer(context: &Context, (address, number): PermitRequestId<SocketAddr>, reply: PermitReply) {
     let message = match reply {
-        PermitReply::Granted(target) => Message::Granted { number, target },
-        PermitReply::Queued => Message::Queued { number },
-        PermitReply::Refused(wait) => Message::Refused {
+        PermitReply::Granted(target) => Message::PermitGranted { number, target },
+        PermitReply::Queued => Message::PermitQueued { number },
+        PermitReply::Refused(wait) => Message::PermitRefused {
             number,
-            wait: wait.as_millis() as u64,
+            wait_ms: wait.as_millis() as u64,
         },
     };
     tell(context, message, address);
@@ -362,7 +364,7 @@
 fn tell(context: &Context, message: Message, to: SocketAddr) {
     match to == context.settings.listen.heartbeats {
         true => take(context, message, to),
-        false => datagram::send_now(context, &message, to),
+        false => datagram::try_send(context, &message, to),
     }
 }
 
@@ -375,19 +377,21 @@
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     targets
-        .of(service)
+        .for_service(service)
         .filter(|seen| match only {
             // Whether the owner of keys may still be sent to is for the asker to say.
-            Some(only) => seen.target.id == *only,
-            None => seen.leaving.is_none() && !withdrawn.contains_key(&seen.target.data_centre),
+            Some(only) => seen.report.id == *only,
+            None => {
+                seen.draining_since.is_none() && !withdrawn.contains_key(&seen.report.data_centre)
+            }
         })
         .map(|seen| {
             let member = PoolTarget {
-                slots: seen.target.slots.min(1000) as u32,
-                data_centre: seen.target.data_centre.clone(),
+                slots: seen.report.slots.min(1000) as u32,
+                data_centre: seen.report.data_centre.clone(),
                 cold_rate: seen.is_cold(now).then_some(rate),
             };
-            (seen.target.id.clone(), member)
+            (seen.report.id.clone(), member)
         })
         .collect()
 }
--- a/crates/cowslipcross/src/views.rs
+++ b/crates/cowslipcross/src/views.rs
@@ -1,7 +1,7 @@
 //! What the instance knows of the operators' configuration and of the targets.
 
 pub mod config;
-mod health;
-pub mod news;
-pub mod seen;
+mod store_health;
+pub mod target_snapshot;
+pub mod target_updates;
 pub mod targets;
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration and their withdrawals of data centres.
 
 use {
-    crate::{context::Context, events, serve::route::Routes, views::health::Health},
+    crate::{context::Context, events, serve::route::Routes, views::store_health::StoreHealth},
     cowslip_adapter::{
         Error,
         config::Config,
@@ -25,9 +25,9 @@
 const LAG: Duration = Duration::from_millis(250);
 
 /// Follows the operators' rows for ever.
-pub async fn follow(context: Rc<Context>) {
+pub async fn watch_config(context: Rc<Context>) {
     let mut version = None;
-    let mut health = Health::default();
+    let mut health = StoreHealth::default();
     loop {
         let read = match version {
             None => whole(&context).await.map(Some),
@@ -37,13 +37,13 @@
                 () = abandoned(&context) => Ok(None),
             },
         };
-        health.note(&context, "configuration", read.as_ref().err());
+        health.record_call(&context, "configuration", read.as_ref().err());
         match read {
             Ok(next) => {
                 context.config_confirmed.set(Some(Instant::now()));
                 version = next;
             }
-            Err(_) => health.rest(&context).await,
+            Err(_) => health.wait_to_retry(&context).await,
         }
     }
 }
--- a/crates/cowslipcross/src/views/health.rs
+++ b/crates/cowslipcross/src/views/store_health.rs
@@ -18,14 +18,14 @@
 
 /// Whether the store answered last, for one duty.
 #[derive(Default)]
-pub struct Health {
+pub struct StoreHealth {
     down: Option<Instant>,
     failures: u32,
 }
 
-impl Health {
+impl StoreHealth {
     /// Notes the first failure of a row of them and the first success after it.
-    pub fn note(&mut self, context: &Context, what: &str, error: Option<&Error>) {
+    pub fn record_call(&mut self, context: &Context, what: &str, error: Option<&Error>) {
         context.metrics.count_store_call(what, error.is_none());
         context.set_store_reachable(error.is_none());
         self.failures = error.map_or(0, |_| self.failures + 1);
@@ -44,7 +44,7 @@
     }
 
     /// Waits until the store is called again: for a pause, or until it answers another duty.
-    pub async fn rest(&self, context: &Context) {
+    pub async fn wait_to_retry(&self, context: &Context) {
         let pause = (PAUSE * self.failures.max(1)).min(LONGEST_PAUSE);
         // Instances that failed together must not call together again.
         let pause = pause.mul_f64(rand::random_range(SPREAD));
--- a/crates/cowslipcross/src/views/seen.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -1,7 +1,7 @@
 //! The targets as this instance sees them.
 
 use {
-    crate::views::news::{Changes, WireNews},
+    crate::views::target_updates::{TargetChanges, TargetUpdateMessage},
     cowslip_adapter::targets::TargetReport,
     cowslip_decide::{names::Name, owners::TargetIncarnation},
     std::{collections::BTreeMap, rc::Rc, time::Duration},
@@ -17,21 +17,21 @@
 
 /// A target with what this instance knows of it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct TargetView {
     /// What it reports.
-    pub target: Rc<TargetReport>,
+    pub report: Rc<TargetReport>,
     /// Since when it is known to leave.
-    pub leaving: Option<Instant>,
+    pub draining_since: Option<Instant>,
     /// Until when it is cold.
-    pub cold: Option<Instant>,
+    pub cold_until: Option<Instant>,
     /// Since when this run of it is known.
-    pub since: Instant,
+    pub known_since: Instant,
 }
 
 /// The targets as of a version of the store.
 #[derive(Clone, Debug)]
-pub struct Targets {
-    seen: BTreeMap<Name, Seen>,
+pub struct TargetSnapshot {
+    seen: BTreeMap<Name, TargetView>,
     /// Version of the store as of which the view is whole.
     version: u64,
     /// Version of the last change.
@@ -43,16 +43,16 @@
 
 /// What a heartbeat's word on the targets comes to.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum UpdateResult {
     /// The view is as new.
-    Confirmed(Targets),
+    Confirmed(TargetSnapshot),
     /// This view is newer.
-    Changed(Targets),
+    Changed(TargetSnapshot),
     /// Changes were missed: the store has to be read.
     Missed,
 }
 
-impl Targets {
+impl TargetSnapshot {
     /// Returns the view of an instance that has not read the targets yet.
     pub fn empty() -> Self {
         Self {
@@ -65,12 +65,12 @@
     }
 
     /// Returns whether the targets were ever read.
-    pub fn known(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         self.confirmed.is_some()
     }
 
     /// Returns when the view was true last, if it ever was.
-    pub fn confirmed(&self) -> Option<Instant> {
+    pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed
     }
 
@@ -80,36 +80,36 @@
     }
 
     /// Returns the version of the last change.
-    pub fn changed(&self) -> u64 {
+    pub fn changed_version(&self) -> u64 {
         self.changed
     }
 
     /// Returns a target by its id.
-    pub fn get(&self, id: &str) -> Option<&Seen> {
+    pub fn get(&self, id: &str) -> Option<&TargetView> {
         self.seen.get(id)
     }
 
     /// Returns all targets.
-    pub fn all(&self) -> impl Iterator<Item = &Seen> {
+    pub fn all(&self) -> impl Iterator<Item = &TargetView> {
         self.seen.values()
     }
 
     /// Returns the targets of a service.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Seen> {
+    pub fn for_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a TargetView> {
         let all = self.seen.values();
-        all.filter(move |seen| &*seen.target.service == service)
+        all.filter(move |seen| &*seen.report.service == service)
     }
 
     /// Returns the view after a read of the store that was sent at `sent`, and what changed.
     ///
     /// Reports that lapsed while the store was away come back soon after its return; until then a
     /// missing target is kept.
-    pub fn next(
+    pub fn with_reports(
         &self,
         reports: Vec<TargetReport>,
         version: u64,
         (sent, now): (Instant, Instant),
-    ) -> (Self, Changes) {
+    ) -> (Self, TargetChanges) {
         let gap = self.age(sent).is_some_and(|age| age > STORE_GAP);
         let lenient = match gap {
             true => Some(now + RETURN),
@@ -119,7 +119,7 @@
         let reports: BTreeMap<Name, TargetReport> = reports.collect();
         let gone = self.seen.keys().filter(|id| !reports.contains_key(*id));
         let gone = gone.filter(|_| lenient.is_none());
-        let mut changes: Changes = gone.map(|id| (id.clone(), None)).collect();
+        let mut changes: TargetChanges = gone.map(|id| (id.clone(), None)).collect();
         let news = reports.into_iter().filter(|(_, it)| self.differs(it, now));
         changes.extend(news.map(|(id, it)| (id, Some(it))));
         let changed = match changes.is_empty() {
@@ -137,27 +137,27 @@
     }
 
     /// Returns what the leader's word comes to.
-    pub fn hear(&self, news: WireNews, now: Instant) -> Heard {
+    pub fn apply_message(&self, message: TargetUpdateMessage, now: Instant) -> UpdateResult {
         // Where the leader has not read them yet, nobody learns anything.
-        let Some(age) = news.age else {
-            return Heard::Confirmed(self.clone());
+        let Some(age) = message.age else {
+            return UpdateResult::Confirmed(self.clone());
         };
         let told = now.checked_sub(Duration::from_millis(age));
-        let (version, base) = (news.version, news.base);
+        let (version, base) = (message.version, message.base);
         let confirmed = self.confirmed.max(told);
         if self.confirmed.is_some() && self.version >= version {
             let changed = version.max(self.changed);
-            return Heard::Confirmed(Self {
+            return UpdateResult::Confirmed(Self {
                 confirmed,
                 changed,
                 ..self.clone()
             });
         }
-        let changes = news.changes();
+        let changes = message.into_changes();
         if self.confirmed.is_none() || changes.is_empty() || self.version < base {
-            return Heard::Missed;
+            return UpdateResult::Missed;
         }
-        Heard::Changed(Self {
+        UpdateResult::Changed(Self {
             seen: self.applied(&changes, now),
             version,
             changed: version,
@@ -166,12 +166,12 @@
         })
     }
 
-    fn applied(&self, changes: &Changes, now: Instant) -> BTreeMap<Name, Seen> {
+    fn applied(&self, changes: &TargetChanges, now: Instant) -> BTreeMap<Name, TargetView> {
         let mut seen = self.seen.clone();
         for (id, target) in changes {
             match target {
                 Some(target) => {
-                    let next = Seen::new(target.clone(), self.seen.get(id), now);
+                    let next = TargetView::new(target.clone(), self.seen.get(id), now);
                     seen.insert(id.clone(), next);
                 }
                 None => drop(seen.remove(id)),
@@ -187,37 +187,37 @@
         };
         let known = TargetReport {
             cold_remaining: report.cold_remaining,
-            ..(*seen.target).clone()
+            ..(*seen.report).clone()
         };
-        let until = seen.cold.unwrap_or(now).max(now);
+        let until = seen.cold_until.unwrap_or(now).max(now);
         known != *report || now + report.cold_remaining > until + COLDER
     }
 }
 
-impl Seen {
+impl TargetView {
     fn new(target: TargetReport, before: Option<&Self>, now: Instant) -> Self {
-        let before = before.filter(|it| it.target.incarnation == target.incarnation);
-        let known = before.and_then(|it| it.leaving);
+        let before = before.filter(|it| it.report.incarnation == target.incarnation);
+        let known = before.and_then(|it| it.draining_since);
         let leaving = target.draining.then(|| known.unwrap_or(now));
         let cold = (target.cold_remaining > Duration::ZERO).then(|| now + target.cold_remaining);
         Self {
-            leaving,
-            cold,
-            since: before.map_or(now, |it| it.since),
-            target: Rc::new(target),
+            draining_since: leaving,
+            cold_until: cold,
+            known_since: before.map_or(now, |it| it.known_since),
+            report: Rc::new(target),
         }
     }
 
     /// Returns the run of the target.
-    pub fn life(&self) -> TargetIncarnation {
+    pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation {
-            id: self.target.id.clone(),
-            incarnation: self.target.incarnation,
+            id: self.report.id.clone(),
+            incarnation: self.report.incarnation,
         }
     }
 
     /// Returns whether the target is cold.
     pub fn is_cold(&self, now: Instant) -> bool {
-        self.cold.is_some_and(|until| until > now)
+        self.cold_until.is_some_and(|until| until > now)
     }
 }
--- a/crates/cowslipcross/src/views/news.rs
+++ b/crates/cowslipcross/src/views/target_updates.rs
@@ -4,7 +4,7 @@
 //! everything that was there then.
 
 use {
-    crate::{context::Context, views::seen::Targets},
+    crate::{context::Context, views::target_snapshot::TargetSnapshot},
     cowslip_adapter::targets::TargetReport,
     cowslip_decide::names::Name,
     serde::{Deserialize, Serialize},
@@ -18,26 +18,26 @@
 const MOST: usize = 120;
 
 /// Targets that changed of late; a target that is gone has no report.
-pub type Changes = BTreeMap<Name, Option<TargetReport>>;
+pub type TargetChanges = BTreeMap<Name, Option<TargetReport>>;
 
 /// The last changes that this instance has read, the earliest first.
 #[derive(Debug, Default)]
-pub struct News(Vec<Change>);
+pub struct TargetUpdates(Vec<TargetUpdate>);
 
 /// One change of the targets.
 #[derive(Debug)]
-struct Change {
+struct TargetUpdate {
     /// Version of the change before it.
     base: u64,
     version: u64,
-    targets: Changes,
+    targets: TargetChanges,
     /// Heartbeats that have told it.
     told: u32,
 }
 
 /// What a heartbeat tells of the targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WireNews {
+pub struct TargetUpdateMessage {
     /// Version of the last change.
     #[serde(rename = "v")]
     pub version: u64,
@@ -87,11 +87,11 @@
     }
 }
 
-impl News {
+impl TargetUpdates {
     /// Takes a change that led from one version to another.
-    pub fn add(&mut self, (base, version): (u64, u64), targets: Changes) {
+    pub fn add(&mut self, (base, version): (u64, u64), targets: TargetChanges) {
         self.keep_up_to(base);
-        self.0.push(Change {
+        self.0.push(TargetUpdate {
             base,
             version,
             targets,
@@ -104,10 +104,10 @@
     }
 
     /// Returns what a heartbeat tells of a view, and counts it as told.
-    pub fn tell(&mut self, targets: &Targets, now: Instant) -> WireNews {
-        self.keep_up_to(targets.changed());
+    pub fn next_message(&mut self, targets: &TargetSnapshot, now: Instant) -> TargetUpdateMessage {
+        self.keep_up_to(targets.changed_version());
         self.0.retain(|change| change.told < TELLINGS);
-        let mut merged = Changes::new();
+        let mut merged = TargetChanges::new();
         for change in &mut self.0 {
             change.told += 1;
             merged.extend(change.targets.clone());
@@ -115,8 +115,8 @@
         let told = merged.len() <= MOST;
         let base = self.0.first().filter(|_| told).map_or(0, |it| it.base);
         let changes = merged.iter().filter(|_| told);
-        WireNews {
-            version: targets.changed(),
+        TargetUpdateMessage {
+            version: targets.changed_version(),
             age: targets.age(now).map(|age| age.as_millis() as u64),
             base,
             changes: changes
@@ -126,7 +126,7 @@
     }
 }
 
-impl News {
+impl TargetUpdates {
     /// Drops changes that do not lead to a version: others told of some in between.
     fn keep_up_to(&mut self, version: u64) {
         if self.0.last().is_some_and(|last| last.version != version) {
@@ -135,9 +135,9 @@
     }
 }
 
-impl WireNews {
+impl TargetUpdateMessage {
     /// Returns the change.
-    pub fn changes(self) -> Changes {
+    pub fn into_changes(self) -> TargetChanges {
         let changes = self.changes.into_iter();
         changes
             .map(|(id, wire)| (id.clone(), wire.map(|wire| wire.target(id))))
@@ -146,12 +146,12 @@
 }
 
 /// Returns what a heartbeat tells of the targets.
-pub fn tell(context: &Context) -> WireNews {
+pub fn next_message(context: &Context) -> TargetUpdateMessage {
     let targets = context.targets.borrow();
     context
         .target_updates
         .borrow_mut()
-        .tell(&targets, Instant::now())
+        .next_message(&targets, Instant::now())
 }
 
 fn is_zero(number: &u64) -> bool {
@@ -159,5 +159,5 @@
 }
 
 #[cfg(test)]
-#[path = "news_tests.rs"]
+#[path = "target_updates_tests.rs"]
 mod tests;
--- a/crates/cowslipcross/src/views/news_tests.rs
+++ b/crates/cowslipcross/src/views/target_updates_tests.rs
@@ -1,8 +1,8 @@
 //! What the leader passes on of the targets: views stay whole, and missed changes are noticed.
 
 use {
-    super::{News, WireNews},
-    crate::views::seen::{Heard, Targets},
+    super::{TargetUpdateMessage, TargetUpdates},
+    crate::views::target_snapshot::{TargetSnapshot, UpdateResult},
     cowslip_adapter::targets::TargetReport,
     std::{net::SocketAddr, time::Duration},
     tokio::time::Instant,
@@ -27,36 +27,38 @@
 
 /// A leader's view and what it passes on.
 struct Leader {
-    view: Targets,
-    news: News,
+    view: TargetSnapshot,
+    news: TargetUpdates,
 }
 
 impl Leader {
     fn new() -> Self {
         Self {
-            view: Targets::empty(),
-            news: News::default(),
+            view: TargetSnapshot::empty(),
+            news: TargetUpdates::default(),
         }
     }
 
     fn read(&mut self, reports: &[TargetReport], version: u64, now: Instant) {
-        let before = self.view.changed();
-        let (next, changes) = self.view.next(reports.to_vec(), version, (now, now));
+        let before = self.view.changed_version();
+        let (next, changes) = self
+            .view
+            .with_reports(reports.to_vec(), version, (now, now));
         if !changes.is_empty() {
-            self.news.add((before, next.changed()), changes);
+            self.news.add((before, next.changed_version()), changes);
         }
         self.view = next;
     }
 
     /// Returns what a heartbeat tells, as it comes out of a datagram.
-    fn tells(&mut self, now: Instant) -> WireNews {
-        let bytes = serde_json::to_vec(&self.news.tell(&self.view, now));
+    fn tells(&mut self, now: Instant) -> TargetUpdateMessage {
+        let bytes = serde_json::to_vec(&self.news.next_message(&self.view, now));
         serde_json::from_slice(&bytes.expect("JSON")).expect("news")
     }
 }
 
-fn read(reports: &[TargetReport], version: u64, now: Instant) -> Targets {
-    let (view, _) = Targets::empty().next(reports.to_vec(), version, (now, now));
+fn read(reports: &[TargetReport], version: u64, now: Instant) -> TargetSnapshot {
+    let (view, _) = TargetSnapshot::empty().with_reports(reports.to_vec(), version, (now, now));
     view
 }
 
@@ -68,12 +70,12 @@
     leader.read(&all, 9, start);
     let later = start + millis(1500);
     leader.read(&all, 30, later);
-    let Heard::Confirmed(view) =
-        follower.hear(leader.tells(later + millis(200)), later + millis(200))
+    let UpdateResult::Confirmed(view) =
+        follower.apply_message(leader.tells(later + millis(200)), later + millis(200))
     else {
         panic!("nothing has changed");
     };
-    assert_eq!(view.confirmed(), Some(later));
+    assert_eq!(view.confirmed_at(), Some(later));
     assert_eq!(view.all().count(), 2);
 }
 
@@ -86,27 +88,27 @@
     let later = start + millis(900);
     leader.read(&[target("b", true, 0), target("c", false, 3000)], 40, later);
     let now = later + millis(20);
-    let Heard::Changed(view) = follower.hear(leader.tells(now), now) else {
+    let UpdateResult::Changed(view) = follower.apply_message(leader.tells(now), now) else {
         panic!("a leaves the view, b leaves, c is new");
     };
     assert!(view.get("a").is_none());
-    assert!(view.get("b").is_some_and(|it| it.leaving.is_some()));
+    assert!(view.get("b").is_some_and(|it| it.draining_since.is_some()));
     assert!(
         view.get("c")
             .is_some_and(|it| it.is_cold(now + millis(2900)))
     );
-    assert_eq!(view.changed(), 40);
+    assert_eq!(view.changed_version(), 40);
     // The next change follows on from it, and both are told while they are fresh.
     leader.read(&[target("b", true, 0)], 44, later + millis(300));
     let now = later + millis(310);
-    let Heard::Changed(first) = follower.hear(leader.tells(now), now) else {
+    let UpdateResult::Changed(first) = follower.apply_message(leader.tells(now), now) else {
         panic!("both changes are fresh");
     };
-    let Heard::Changed(second) = view.hear(leader.tells(now), now) else {
+    let UpdateResult::Changed(second) = view.apply_message(leader.tells(now), now) else {
         panic!("the second change is news");
     };
     for view in [first, second] {
-        let ids: Vec<_> = view.all().map(|it| it.target.id.to_string()).collect();
+        let ids: Vec<_> = view.all().map(|it| it.report.id.to_string()).collect();
         assert_eq!(ids, ["b"]);
     }
 }
@@ -124,17 +126,17 @@
         assert_eq!(leader.tells(late).changes.len(), 1);
     }
     assert!(matches!(
-        follower.hear(leader.tells(late), late),
-        Heard::Missed
+        follower.apply_message(leader.tells(late), late),
+        UpdateResult::Missed
     ));
     leader.read(&[target("d", false, 0)], 50, late);
     assert!(matches!(
-        follower.hear(leader.tells(late), late),
-        Heard::Missed
+        follower.apply_message(leader.tells(late), late),
+        UpdateResult::Missed
     ));
     assert!(matches!(
-        Targets::empty().hear(leader.tells(late), late),
-        Heard::Missed
+        TargetSnapshot::empty().apply_message(leader.tells(late), late),
+        UpdateResult::Missed
     ));
 }
 
@@ -154,7 +156,7 @@
     let mut former = Leader::new();
     former.view = leader.view.clone();
     former.read(&[a.clone(), b.clone(), c.clone()], 30, start);
-    let Heard::Changed(view) = leader.view.hear(former.tells(start), start) else {
+    let UpdateResult::Changed(view) = leader.view.apply_message(former.tells(start), start) else {
         panic!("c is new");
     };
     leader.view = view;
@@ -163,7 +165,10 @@
     leader.read(&[b], 50, start);
     let told = leader.tells(start);
     assert!(told.base >= 30, "{told:?}");
-    assert!(matches!(follower.hear(told, start), Heard::Missed));
+    assert!(matches!(
+        follower.apply_message(told, start),
+        UpdateResult::Missed
+    ));
 }
 
 #[test]
@@ -179,8 +184,8 @@
     let now = start + millis(610);
     assert!(leader.tells(now).changes.is_empty());
     assert!(matches!(
-        follower.hear(leader.tells(now), now),
-        Heard::Missed
+        follower.apply_message(leader.tells(now), now),
+        UpdateResult::Missed
     ));
 }
 
@@ -189,10 +194,10 @@
     let start = Instant::now();
     let view = read(&[target("a", false, 3000)], 9, start);
     let now = start + millis(1000);
-    let (_, changes) = view.next(vec![target("a", false, 2000)], 10, (now, now));
+    let (_, changes) = view.with_reports(vec![target("a", false, 2000)], 10, (now, now));
     assert!(changes.is_empty());
-    let (warm, _) = view.next(vec![target("a", false, 0)], 11, (now, now));
-    let (_, changes) = warm.next(vec![target("a", false, 3000)], 12, (now, now));
+    let (warm, _) = view.with_reports(vec![target("a", false, 0)], 11, (now, now));
+    let (_, changes) = warm.with_reports(vec![target("a", false, 3000)], 12, (now, now));
     assert!(changes.contains_key("a"));
 }
 
@@ -201,12 +206,12 @@
     let start = Instant::now();
     let view = read(&[target("a", false, 0)], 9, start);
     let back = start + millis(5000);
-    let (view, changes) = view.next(Vec::new(), 10, (back, back));
+    let (view, changes) = view.with_reports(Vec::new(), 10, (back, back));
     assert!(changes.is_empty() && view.get("a").is_some());
     let later = back + millis(1500);
-    let (view, _) = view.next(Vec::new(), 11, (later, later));
+    let (view, _) = view.with_reports(Vec::new(), 11, (later, later));
     assert!(view.get("a").is_some());
     let over = back + millis(2400);
-    let (view, changes) = view.next(Vec::new(), 12, (over, over));
+    let (view, changes) = view.with_reports(Vec::new(), 12, (over, over));
     assert!(view.get("a").is_none() && changes.contains_key("a"));
 }
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -5,9 +5,9 @@
         context::Context,
         events::{self, EventFields},
         views::{
-            health::Health,
-            news::WireNews,
-            seen::{Heard, Seen, Targets},
+            store_health::StoreHealth,
+            target_snapshot::{TargetSnapshot, TargetView, UpdateResult},
+            target_updates::TargetUpdateMessage,
         },
     },
     cowslip_adapter::{
@@ -26,16 +26,16 @@
 const LEADER_OLD: Duration = Duration::from_millis(600);
 
 /// Follows the targets for ever.
-pub async fn follow(context: Rc<Context>) {
-    let mut health = Health::default();
+pub async fn poll_targets(context: Rc<Context>) {
+    let mut health = StoreHealth::default();
     loop {
         due(&context).await;
         let sent = Instant::now();
         let read = context.target_store.read_table(TARGET_TABLE, LIMIT).await;
-        health.note(&context, "targets", read.as_ref().err());
+        health.record_call(&context, "targets", read.as_ref().err());
         match read {
             Ok(rows) => take(&context, &rows, sent),
-            Err(_) => health.rest(&context).await,
+            Err(_) => health.wait_to_retry(&context).await,
         }
     }
 }
@@ -44,7 +44,7 @@
 async fn due(context: &Context) {
     loop {
         let old = if context.is_leader() { LEADER_OLD } else { OLD };
-        let confirmed = context.targets.borrow().confirmed();
+        let confirmed = context.targets.borrow().confirmed_at();
         let Some(due) = confirmed.map(|at| at + old) else {
             return;
         };
@@ -75,28 +75,28 @@
     context.metrics.set_target_reports(reports.len(), bad);
     let before = context.targets.borrow().clone();
     let now = Instant::now();
-    let (next, changes) = before.next(reports, rows.store_version, (sent, now));
+    let (next, changes) = before.with_reports(reports, rows.store_version, (sent, now));
     if !changes.is_empty() {
         let mut news = context.target_updates.borrow_mut();
-        news.add((before.changed(), next.changed()), changes);
+        news.add((before.changed_version(), next.changed_version()), changes);
     }
     adopt(context, &before, next);
 }
 
 /// Takes what a heartbeat tells of the targets.
-pub fn hear(context: &Context, news: WireNews) {
+pub fn apply_update(context: &Context, message: TargetUpdateMessage) {
     let before = context.targets.borrow().clone();
-    match before.hear(news, Instant::now()) {
-        Heard::Confirmed(same) => *context.targets.borrow_mut() = Rc::new(same),
-        Heard::Changed(next) => adopt(context, &before, next),
-        Heard::Missed => context.updates_missed.notify_waiters(),
+    match before.apply_message(message, Instant::now()) {
+        UpdateResult::Confirmed(same) => *context.targets.borrow_mut() = Rc::new(same),
+        UpdateResult::Changed(next) => adopt(context, &before, next),
+        UpdateResult::Missed => context.updates_missed.notify_waiters(),
     }
 }
 
 /// Takes over a view of the targets, and notes what has changed.
-fn adopt(context: &Context, before: &Targets, next: Targets) {
+fn adopt(context: &Context, before: &TargetSnapshot, next: TargetSnapshot) {
     let changed = note_changes(context, before, &next);
-    context.record_addresses(next.all().map(|it| (it.life(), it.target.address)));
+    context.record_addresses(next.all().map(|it| (it.incarnation(), it.report.address)));
     let mut lines = context.connections.borrow_mut();
     lines.retain(|id, _| next.get(id).is_some());
     drop(lines);
@@ -107,21 +107,21 @@
     }
 }
 
-fn note_changes(context: &Context, before: &Targets, next: &Targets) -> bool {
+fn note_changes(context: &Context, before: &TargetSnapshot, next: &TargetSnapshot) -> bool {
     let mut changed = false;
-    let mut note = |code, seen: &Seen, detail: String| {
+    let mut note = |code, seen: &TargetView, detail: String| {
         changed = true;
         let about = EventFields {
-            target: Some(seen.target.id.clone()),
+            target: Some(seen.report.id.clone()),
             detail: Some(detail),
             ..EventFields::default()
         };
         context.events.record(code, about);
     };
     for seen in next.all() {
-        let target = &seen.target;
+        let target = &seen.report;
         let known = before.get(&target.id);
-        let known = known.filter(|it| it.target.incarnation == target.incarnation);
+        let known = known.filter(|it| it.report.incarnation == target.incarnation);
         if known.is_none() {
             let detail = format!(
                 "service {}, {}, data centre {}, cold for {} ms",
@@ -132,11 +132,11 @@
             );
             note(events::TARGET_ADDED, seen, detail);
         }
-        if seen.leaving.is_some() && known.is_none_or(|it| it.leaving.is_none()) {
+        if seen.draining_since.is_some() && known.is_none_or(|it| it.draining_since.is_none()) {
             note(events::TARGET_DRAINING, seen, "by its report".into());
         }
     }
-    for seen in before.all().filter(|it| next.get(&it.target.id).is_none()) {
+    for seen in before.all().filter(|it| next.get(&it.report.id).is_none()) {
         note(events::TARGET_REMOVED, seen, "no report any more".into());
     }
     changed
