--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -10,7 +10,7 @@
         endpoints,
         events::{self, EventFields},
         lead::{keep, seat},
-        peers::{datagram, heartbeats},
+        peers::{datagram, heartbeat_protocol},
         serve::{entry, permit},
         shutdown,
         views::{config, targets},
@@ -72,7 +72,7 @@
     spawn_local(config::watch_config(context.clone()));
     spawn_local(targets::poll_targets(context.clone()));
     spawn_local(datagram::receive_messages(context.clone()));
-    spawn_local(heartbeats::send_reports(context.clone()));
+    spawn_local(heartbeat_protocol::send_reports(context.clone()));
     spawn_local(permit::serve(context.clone()));
     spawn_local(seat::hold(context.clone()));
     spawn_local(keep::keep(context.clone()));
--- a/crates/cowslipcross/src/lead/keep.rs
+++ b/crates/cowslipcross/src/lead/keep.rs
@@ -10,7 +10,7 @@
             standing::{Standing, standings},
         },
         peers::{
-            heartbeats::{self, MemberReport, MemberReports},
+            heartbeat_protocol::{self, MemberReport, MemberReports},
             membership::{Member, Membership},
             message::InstanceReport,
         },
@@ -230,7 +230,7 @@
         let changed = known != told && beaten.elapsed() >= BEAT_GAP * members;
         if changed || beaten.elapsed() >= BEAT {
             (beaten, told) = (Instant::now(), known);
-            heartbeats::send_heartbeat(&context).await;
+            heartbeat_protocol::send_heartbeat(&context).await;
         }
     }
 }
--- a/crates/cowslipcross/src/peers.rs
+++ b/crates/cowslipcross/src/peers.rs
@@ -6,6 +6,6 @@
 mod assignment_updates;
 pub mod datagram;
 mod fragments;
-pub mod heartbeats;
+pub mod heartbeat_protocol;
 pub mod membership;
 pub mod message;
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -6,7 +6,7 @@
         peers::{
             assignment_updates,
             fragments::{self, Fragments},
-            heartbeats,
+            heartbeat_protocol,
             message::Message,
         },
         serve::permit,
@@ -66,8 +66,10 @@
 
 fn take(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Heartbeat(heartbeat) => heartbeats::handle_heartbeat(context, heartbeat, from),
-        Message::Members(members) => heartbeats::update_membership(context, &members),
+        Message::Heartbeat(heartbeat) => {
+            heartbeat_protocol::handle_heartbeat(context, heartbeat, from)
+        }
+        Message::Members(members) => heartbeat_protocol::update_membership(context, &members),
         Message::AssignmentsRequest(service) => {
             assignment_updates::handle_request(context, &service, from)
         }
@@ -75,7 +77,7 @@
             assignment_updates::handle_response(context, &service, &recorded)
         }
         Message::LeadershipOffer => context.refresh_requested.notify_one(),
-        Message::Report(report) => heartbeats::handle_report(context, report, from),
+        Message::Report(report) => heartbeat_protocol::handle_report(context, report, from),
         about_permits => permit::take(context, about_permits, from),
     }
 }
