--- a/crates/cowslipcross/src/peers/heartbeat_protocol.rs
+++ b/crates/cowslipcross/src/peers/heartbeat_protocol.rs
@@ -9,7 +9,7 @@
         peers::{
             assignment_updates, datagram,
             membership::{self, Member, Membership},
-            message::{Heartbeat, InstanceReport, Message},
+            message::{InstanceReport, LeaderHeartbeat, Message},
         },
         serve::permit,
         views::{target_updates, targets},
@@ -41,29 +41,29 @@
 }
 
 /// Takes a heartbeat.
-pub fn handle_heartbeat(context: &Context, heartbeat: Heartbeat, from: SocketAddr) {
+pub fn handle_heartbeat(context: &Context, heartbeat: LeaderHeartbeat, from: SocketAddr) {
     context
         .events
         .observe_timestamp(HybridTimestamp::from(heartbeat.timestamp));
     let mut lead = context.election.borrow_mut();
-    if heartbeat.row_version < lead.row_version() {
+    if heartbeat.leader_version < lead.row_version() {
         return;
     }
-    lead.apply_heartbeat(heartbeat.row_version, clock::local_time());
+    lead.apply_heartbeat(heartbeat.leader_version, clock::local_time());
     drop(lead);
     context.leader_address.set(Some(from));
     context.last_heartbeat.set(Some(Instant::now()));
     context.instance_count.set(heartbeat.instance_count.max(1));
-    context.update_reported_version(heartbeat.operator_version);
-    for (service, recorded) in &heartbeat.assignments {
+    context.update_reported_version(heartbeat.config_version);
+    for (service, recorded) in &heartbeat.assignment_updates {
         assignment_updates::apply_update(context, service, recorded, from);
     }
-    targets::apply_update(context, heartbeat.target_updates);
+    targets::handle_update(context, heartbeat.targets);
 }
 
 /// Takes the members that the leader tells.
 pub fn update_membership(context: &Context, text: &str) {
-    match Membership::decode(text) {
+    match Membership::parse(text) {
         Some(membership) => *context.membership.borrow_mut() = membership,
         None => context.metrics.count_bad_datagram(),
     }
@@ -74,11 +74,11 @@
     context
         .events
         .observe_timestamp(HybridTimestamp::from(report.timestamp));
-    context.update_reported_version(report.operator_version);
+    context.update_reported_version(report.config_version);
     let known = report.membership_hash == context.membership.borrow().hash();
     keep::report(context, from, report);
     if context.is_leader() && !known {
-        let text = context.membership.borrow().encode();
+        let text = context.membership.borrow().to_text();
         datagram::try_send(context, &Message::Members(text), from);
     }
 }
@@ -94,7 +94,7 @@
             weight,
             store_reachable: context.store_reachable.get(),
             membership_hash: context.membership.borrow().hash(),
-            operator_version: context.operator_version.get(),
+            config_version: context.operator_version.get(),
             key_counts: take_key_counts(&context),
             service_times: permit::paces(&context),
         };
@@ -118,14 +118,14 @@
         _ => count,
     };
     context.instance_count.set(count);
-    let message = Message::Heartbeat(Heartbeat {
+    let message = Message::Heartbeat(LeaderHeartbeat {
         timestamp: context.events.next_timestamp().into(),
-        row_version: context.election.borrow().row_version(),
-        assignments: assignment_updates::current_updates(context),
+        leader_version: context.election.borrow().row_version(),
+        assignment_updates: assignment_updates::current_updates(context),
         instance_count: count,
         membership_hash: membership.hash(),
-        operator_version: context.operator_version.get(),
-        target_updates: target_updates::next_message(context),
+        config_version: context.operator_version.get(),
+        targets: target_updates::next_message(context),
     });
     let own = context.settings.listen.heartbeats;
     let others = membership.members().iter().map(|it| it.address);
--- a/crates/cowslipcross/src/peers/membership.rs
+++ b/crates/cowslipcross/src/peers/membership.rs
@@ -89,12 +89,12 @@
     }
 
     /// Returns the members as a text.
-    pub fn encode(&self) -> String {
+    pub fn to_text(&self) -> String {
         BASE64_STANDARD_NO_PAD.encode(pack(&self.members))
     }
 
     /// Reads the members from a text; `None` if it cannot be one.
-    pub fn decode(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let bytes = BASE64_STANDARD_NO_PAD.decode(text).ok()?;
         let (members, rest) = bytes.as_chunks::<PACKED>();
         rest.is_empty()
--- a/crates/cowslipcross/src/peers/membership_tests.rs
+++ b/crates/cowslipcross/src/peers/membership_tests.rs
@@ -22,13 +22,13 @@
     for count in [0, 1, 77, 250] {
         let membership = membership(&vec![20; count]);
         assert_eq!(
-            Membership::decode(&membership.encode()),
+            Membership::parse(&membership.to_text()),
             Some(membership.clone())
         );
         assert_eq!(membership.members().len(), count);
     }
-    assert_eq!(Membership::decode("????"), None);
-    assert_eq!(Membership::decode("AAAA"), None);
+    assert_eq!(Membership::parse("????"), None);
+    assert_eq!(Membership::parse("AAAA"), None);
     assert_ne!(membership(&[20, 20]).hash(), membership(&[20, 21]).hash());
 }
 
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -17,7 +17,7 @@
 pub enum Message {
     /// From the leader to all.
     #[serde(rename = "b")]
-    Heartbeat(Heartbeat),
+    Heartbeat(LeaderHeartbeat),
     /// From the leader to one that knows other members.
     #[serde(rename = "m")]
     Members(String),
@@ -105,16 +105,16 @@
 
 /// What the leader tells all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Heartbeat {
+pub struct LeaderHeartbeat {
     /// Time of the sender's logical clock.
     #[serde(rename = "c")]
     pub timestamp: u64,
     /// Version of the leader's row.
     #[serde(rename = "s")]
-    pub row_version: u64,
+    pub leader_version: u64,
     /// Versions of the owners by service, with what changed last.
     #[serde(rename = "o")]
-    pub assignments: BTreeMap<Name, AssignmentUpdate>,
+    pub assignment_updates: BTreeMap<Name, AssignmentUpdate>,
     /// Instances that the leader assumes.
     #[serde(rename = "i")]
     pub instance_count: u32,
@@ -123,10 +123,10 @@
     pub membership_hash: u32,
     /// Version of the operators' last change that the leader knows.
     #[serde(rename = "v")]
-    pub operator_version: u64,
+    pub config_version: u64,
     /// What the leader knows of the targets.
     #[serde(rename = "t")]
-    pub target_updates: TargetUpdateMessage,
+    pub targets: TargetUpdateMessage,
 }
 
 /// What an instance tells the leader.
@@ -146,7 +146,7 @@
     pub membership_hash: u32,
     /// Version of the operators' last change that it knows.
     #[serde(rename = "v")]
-    pub operator_version: u64,
+    pub config_version: u64,
     /// Keys with the number of requests, by service.
     #[serde(rename = "k")]
     pub key_counts: BTreeMap<Name, Vec<(u16, u32)>>,
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -181,16 +181,16 @@
     }
 
     /// Returns whether a report says something else than what is known.
-    fn differs(&self, report: &TargetReport, now: Instant) -> bool {
-        let Some(seen) = self.seen.get(&report.id) else {
+    fn differs(&self, new_report: &TargetReport, now: Instant) -> bool {
+        let Some(seen) = self.seen.get(&new_report.id) else {
             return true;
         };
         let known = TargetReport {
-            cold_remaining: report.cold_remaining,
+            cold_remaining: new_report.cold_remaining,
             ..(*seen.report).clone()
         };
         let until = seen.cold_until.unwrap_or(now).max(now);
-        known != *report || now + report.cold_remaining > until + COLDER
+        known != *new_report || now + new_report.cold_remaining > until + COLDER
     }
 }
 
@@ -209,7 +209,7 @@
     }
 
     /// Returns the run of the target.
-    pub fn incarnation(&self) -> TargetIncarnation {
+    pub fn target_incarnation(&self) -> TargetIncarnation {
         TargetIncarnation {
             id: self.report.id.clone(),
             incarnation: self.report.incarnation,
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -84,7 +84,7 @@
 }
 
 /// Takes what a heartbeat tells of the targets.
-pub fn apply_update(context: &Context, message: TargetUpdateMessage) {
+pub fn handle_update(context: &Context, message: TargetUpdateMessage) {
     let before = context.targets.borrow().clone();
     match before.apply_message(message, Instant::now()) {
         UpdateResult::Confirmed(same) => *context.targets.borrow_mut() = Rc::new(same),
@@ -96,7 +96,10 @@
 /// Takes over a view of the targets, and notes what has changed.
 fn adopt(context: &Context, before: &TargetSnapshot, next: TargetSnapshot) {
     let changed = note_changes(context, before, &next);
-    context.record_addresses(next.all().map(|it| (it.incarnation(), it.report.address)));
+    context.record_addresses(
+        next.all()
+            .map(|it| (it.target_incarnation(), it.report.address)),
+    );
     let mut lines = context.connections.borrow_mut();
     lines.retain(|id, _| next.get(id).is_some());
     drop(lines);
