--- a/crates/cowslipcross/src/peers/fragments.rs
+++ b/crates/cowslipcross/src/peers/fragments.rs
@@ -38,8 +38,8 @@
     if message.len() <= MAX_DATAGRAM_BYTES {
         return Some(vec![message]);
     }
-    let chunks = message.chunks(MAX_DATAGRAM_BYTES - HEADER_BYTES);
-    let count = chunks.len();
+    let payloads = message.chunks(MAX_DATAGRAM_BYTES - HEADER_BYTES);
+    let count = payloads.len();
     if count > MAX_FRAGMENTS {
         return None;
     }
@@ -50,7 +50,7 @@
         bytes.extend(payload);
         bytes
     };
-    Some(chunks.enumerate().map(to_datagram).collect())
+    Some(payloads.enumerate().map(to_datagram).collect())
 }
 
 impl Reassembler {
--- a/crates/cowslipcross/src/views/target_updates.rs
+++ b/crates/cowslipcross/src/views/target_updates.rs
@@ -92,7 +92,7 @@
 
 impl TargetUpdates {
     /// Appends the changes that led from one version to another.
-    pub fn push(&mut self, (base_version, version): (u64, u64), changes: TargetChanges) {
+    pub fn add_update(&mut self, (base_version, version): (u64, u64), changes: TargetChanges) {
         self.clear_unless_latest(base_version);
         self.0.push(TargetUpdate {
             base_version,
--- a/crates/cowslipcross/src/views/target_updates_tests.rs
+++ b/crates/cowslipcross/src/views/target_updates_tests.rs
@@ -45,13 +45,14 @@
             .snapshot
             .with_reports(reports.to_vec(), version, (now, now));
         if !changes.is_empty() {
-            self.updates.push((before, next.changed_version()), changes);
+            self.updates
+                .add_update((before, next.changed_version()), changes);
         }
         self.snapshot = next;
     }
 
     /// Returns the next heartbeat's part about targets, encoded and decoded.
-    fn next_message(&mut self, now: Instant) -> TargetUpdateMessage {
+    fn send_message(&mut self, now: Instant) -> TargetUpdateMessage {
         let bytes = serde_json::to_vec(&self.updates.next_message(&self.snapshot, now));
         serde_json::from_slice(&bytes.expect("JSON")).expect("an update message")
     }
@@ -71,7 +72,7 @@
     let later = start + millis(1500);
     leader.read(&all, 30, later);
     let UpdateResult::Confirmed(snapshot) = follower.apply_message(
-        leader.next_message(later + millis(200)),
+        leader.send_message(later + millis(200)),
         later + millis(200),
     ) else {
         panic!("nothing has changed");
@@ -89,7 +90,7 @@
     let later = start + millis(900);
     leader.read(&[target("b", true, 0), target("c", false, 3000)], 40, later);
     let now = later + millis(20);
-    let UpdateResult::Changed(snapshot) = follower.apply_message(leader.next_message(now), now)
+    let UpdateResult::Changed(snapshot) = follower.apply_message(leader.send_message(now), now)
     else {
         panic!("a was removed, b drains, c is new");
     };
@@ -108,10 +109,10 @@
     // A heartbeat includes both changes until each one was sent often enough.
     leader.read(&[target("b", true, 0)], 44, later + millis(300));
     let now = later + millis(310);
-    let UpdateResult::Changed(first) = follower.apply_message(leader.next_message(now), now) else {
+    let UpdateResult::Changed(first) = follower.apply_message(leader.send_message(now), now) else {
         panic!("both changes are included");
     };
-    let UpdateResult::Changed(second) = snapshot.apply_message(leader.next_message(now), now)
+    let UpdateResult::Changed(second) = snapshot.apply_message(leader.send_message(now), now)
     else {
         panic!("the second change is new to it");
     };
@@ -131,19 +132,19 @@
     let later = start + millis(2500);
     // Both heartbeats that include the change are lost.
     for _ in 0..2 {
-        assert_eq!(leader.next_message(later).changes.len(), 1);
+        assert_eq!(leader.send_message(later).changes.len(), 1);
     }
     assert!(matches!(
-        follower.apply_message(leader.next_message(later), later),
+        follower.apply_message(leader.send_message(later), later),
         UpdateResult::Missed
     ));
     leader.read(&[target("d", false, 0)], 50, later);
     assert!(matches!(
-        follower.apply_message(leader.next_message(later), later),
+        follower.apply_message(leader.send_message(later), later),
         UpdateResult::Missed
     ));
     assert!(matches!(
-        TargetSnapshot::empty().apply_message(leader.next_message(later), later),
+        TargetSnapshot::empty().apply_message(leader.send_message(later), later),
         UpdateResult::Missed
     ));
 }
@@ -166,15 +167,15 @@
     previous.read(&[a.clone(), b.clone(), c.clone()], 30, start);
     let UpdateResult::Changed(snapshot) = leader
         .snapshot
-        .apply_message(previous.next_message(start), start)
+        .apply_message(previous.send_message(start), start)
     else {
         panic!("c is new");
     };
     leader.snapshot = snapshot;
-    assert!(leader.next_message(start).changes.is_empty());
+    assert!(leader.send_message(start).changes.is_empty());
     leader.read(&[a, b.clone(), c], 40, start);
     leader.read(&[b], 50, start);
-    let message = leader.next_message(start);
+    let message = leader.send_message(start);
     assert!(message.base_version >= 30, "{message:?}");
     assert!(matches!(
         follower.apply_message(message, start),
@@ -193,9 +194,9 @@
         .collect();
     leader.read(&many, 40, start + millis(600));
     let now = start + millis(610);
-    assert!(leader.next_message(now).changes.is_empty());
+    assert!(leader.send_message(now).changes.is_empty());
     assert!(matches!(
-        follower.apply_message(leader.next_message(now), now),
+        follower.apply_message(leader.send_message(now), now),
         UpdateResult::Missed
     ));
 }
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -89,7 +89,7 @@
     let (next, changes) = previous.with_reports(reports, rows.store_version, (sent, now));
     if !changes.is_empty() {
         let mut updates = context.target_updates.borrow_mut();
-        updates.push(
+        updates.add_update(
             (previous.changed_version(), next.changed_version()),
             changes,
         );
@@ -101,7 +101,7 @@
 pub fn handle_update(context: &Context, message: TargetUpdateMessage) {
     let previous = context.targets.borrow().clone();
     match previous.apply_message(message, Instant::now()) {
-        UpdateResult::Confirmed(next) => *context.targets.borrow_mut() = Rc::new(next),
+        UpdateResult::Confirmed(kept) => *context.targets.borrow_mut() = Rc::new(kept),
         UpdateResult::Changed(next) => replace_snapshot(context, &previous, next),
         UpdateResult::Missed => context.updates_missed.notify_waiters(),
     }
