--- a/crates/cowslipcross/src/peers/heartbeat_protocol.rs
+++ b/crates/cowslipcross/src/peers/heartbeat_protocol.rs
@@ -99,8 +99,8 @@
             service_times: permit::paces(&context),
         };
         match context.leader_address.get() {
-            Some(leader) if leader == context.settings.listen.heartbeats => {
-                on_report(&context, report, leader);
+            Some(own) if own == context.settings.listen.heartbeats => {
+                on_report(&context, report, own);
             }
             Some(leader) => datagram::try_send(&context, &Message::Report(report), leader),
             None => {}
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -100,8 +100,8 @@
 
     /// Returns the targets of a service.
     pub fn for_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a TargetView> {
-        let views = self.views.values();
-        views.filter(move |view| &*view.report.service == service)
+        let all = self.views.values();
+        all.filter(move |view| &*view.report.service == service)
     }
 
     /// Returns the snapshot after a read of the store that was sent at `sent`, and the changes.
@@ -195,8 +195,8 @@
             cold_remaining: new_report.cold_remaining,
             ..(*view.report).clone()
         };
-        let cold_until = view.cold_until.unwrap_or(now).max(now);
-        known != *new_report || now + new_report.cold_remaining > cold_until + COLD_TOLERANCE
+        let cold_end = view.cold_until.unwrap_or(now).max(now);
+        known != *new_report || now + new_report.cold_remaining > cold_end + COLD_TOLERANCE
     }
 }
 
--- a/crates/cowslipcross/src/views/target_updates.rs
+++ b/crates/cowslipcross/src/views/target_updates.rs
@@ -32,7 +32,7 @@
     /// Version to which the changes apply.
     base_version: u64,
     version: u64,
-    changes: TargetChanges,
+    targets: TargetChanges,
     /// Number of heartbeats that have included it.
     send_count: u32,
 }
@@ -92,17 +92,17 @@
 
 impl TargetUpdates {
     /// Appends the changes that led from one version to another.
-    pub fn add_update(&mut self, (base_version, version): (u64, u64), changes: TargetChanges) {
+    pub fn add_update(&mut self, (base_version, version): (u64, u64), targets: TargetChanges) {
         self.clear_unless_latest(base_version);
         self.0.push(TargetUpdate {
             base_version,
             version,
-            changes,
+            targets,
             send_count: 0,
         });
         // A heartbeat includes no more, and without this an instance that is not the leader would
         // collect updates without end.
-        while self.0.iter().map(|it| it.changes.len()).sum::<usize>() > MAX_CHANGED_TARGETS {
+        while self.0.iter().map(|it| it.targets.len()).sum::<usize>() > MAX_CHANGED_TARGETS {
             self.0.remove(0);
         }
     }
@@ -114,7 +114,7 @@
         let mut merged = TargetChanges::new();
         for update in &mut self.0 {
             update.send_count += 1;
-            merged.extend(update.changes.clone());
+            merged.extend(update.targets.clone());
         }
         let fits = merged.len() <= MAX_CHANGED_TARGETS;
         let base_version = self
