--- a/crates/cowslipcross/src/peers/fragments.rs
+++ b/crates/cowslipcross/src/peers/fragments.rs
@@ -8,7 +8,7 @@
     tokio::time::Instant,
 };
 
-/// Longest datagram that is sent.
+/// Largest datagram that is sent.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// First byte of a fragment.
 const FRAGMENT_MARKER: u8 = 0xf1;
@@ -54,7 +54,7 @@
 }
 
 impl Reassembler {
-    /// Adds a datagram and returns its message once that is complete; malformed fragments are ignored.
+    /// Adds a datagram and returns its message once that is complete; ignores malformed fragments.
     pub fn add_datagram(
         &mut self,
         from: SocketAddr,
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -1,6 +1,6 @@
 //! Messages between instances.
 //!
-//! Names on the wire are single letters to keep messages short: every request for a permit takes one.
+//! Names on the wire are single letters, as permits are asked for with every request.
 
 use {
     crate::views::target_updates::TargetUpdateMessage,
@@ -36,7 +36,7 @@
     /// Asks a pool's coordinator for a permit to send a request to a target.
     #[serde(rename = "a")]
     PermitRequest {
-        /// Identifies the permit request at the instance that sends it.
+        /// Number of the permit request, unique at its sender.
         #[serde(rename = "n")]
         number: u64,
         /// Service of the request.
@@ -64,7 +64,7 @@
     /// Grants a permit.
     #[serde(rename = "p")]
     PermitGranted {
-        /// Number of the question.
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
         /// Target to send the request to.
@@ -74,14 +74,14 @@
     /// The permit request waits in the coordinator's queue.
     #[serde(rename = "q")]
     PermitQueued {
-        /// Number of the question.
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
     },
     /// The request cannot be served before its deadline.
     #[serde(rename = "x")]
     PermitRefused {
-        /// Number of the question.
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
         /// Milliseconds after which the caller should retry.
@@ -91,7 +91,7 @@
     /// Returns a permit, or withdraws the permit request.
     #[serde(rename = "d")]
     PermitReturned {
-        /// Number of the question.
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
         /// Code of the request's [`PermitOutcome`](cowslip_decide::permits::PermitOutcome).
@@ -103,19 +103,19 @@
     },
 }
 
-/// State of the leader that the other instances follow.
+/// Versions and changes known to the leader, which the other instances follow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderHeartbeat {
     /// Time of the sender's hybrid logical clock.
     #[serde(rename = "c")]
     pub timestamp: u64,
-    /// Version of the leader's row in the store, which tells heartbeats of previous leaders.
+    /// Version of the leader's row in the store; lower ones mark heartbeats of previous leaders.
     #[serde(rename = "s")]
     pub leader_version: u64,
-    /// Version of the recorded assignments by service, with the last change while it is recent.
+    /// Versions of the recorded assignments by service, with recent changes.
     #[serde(rename = "o")]
     pub assignment_updates: BTreeMap<Name, AssignmentUpdate>,
-    /// Number of instances that share limits.
+    /// Number of instances among which shared limits are divided.
     #[serde(rename = "i")]
     pub instance_count: u32,
     /// Hash of the membership.
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -37,8 +37,8 @@
     store_version: u64,
     /// Version of the store at the last change.
     changed_version: u64,
-    /// When the read was sent that last confirmed the snapshot, here or at the leader; `None` before
-    /// the first one.
+    /// When the last read that confirmed the snapshot was sent, here or at the leader; `None`
+    /// before the first read.
     confirmed_at: Option<Instant>,
     /// Until when missing targets are kept after a gap between reads.
     grace_until: Option<Instant>,
@@ -72,7 +72,7 @@
         self.confirmed_at.is_some()
     }
 
-    /// Returns when the read was sent that last confirmed the snapshot; `None` before the first one.
+    /// Returns when the last read that confirmed the snapshot was sent; `None` before the first.
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at
     }
--- a/crates/cowslipcross/src/views/target_updates.rs
+++ b/crates/cowslipcross/src/views/target_updates.rs
@@ -1,8 +1,8 @@
-//! Changes of targets that the leader sends with its heartbeats, so that followers need not read them
-//! from the store.
+//! Changes of targets that the leader sends with its heartbeats, so that followers need not read
+//! them from the store.
 //!
-//! Versions are those of the store: a snapshot that was read at a version, or to which the changes up
-//! to it were applied, has all reports of that version.
+//! Versions are those of the store: a snapshot that was read at a version, or to which the changes
+//! up to it were applied, has all reports of that version.
 
 use {
     crate::{context::Context, views::target_snapshot::TargetSnapshot},
@@ -21,19 +21,20 @@
 /// Changed targets by id, with their new report; `None` for a removed target.
 pub type TargetChanges = BTreeMap<Name, Option<TargetReport>>;
 
-/// Latest updates that this instance has read from the store, the earliest first. Each one starts at
-/// the version to which the one before it led.
+/// Latest updates that this instance has read from the store, the earliest first; each applies to
+/// the version of the one before it.
 #[derive(Debug, Default)]
 pub struct TargetUpdates(Vec<TargetUpdate>);
 
-/// Difference between two versions of the targets.
+/// Changes from one version of the targets to another.
 #[derive(Debug)]
 struct TargetUpdate {
     /// Version to which the changes apply.
     base_version: u64,
+    /// Version after the changes.
     version: u64,
     targets: TargetChanges,
-    /// Number of heartbeats that have included it.
+    /// Number of heartbeats that have included the changes.
     send_count: u32,
 }
 
--- a/crates/cowslipcross/src/views/target_updates_tests.rs
+++ b/crates/cowslipcross/src/views/target_updates_tests.rs
@@ -1,4 +1,5 @@
-//! What the leader passes on of the targets: views stay whole, and missed changes are noticed.
+//! Updates of targets in heartbeats: snapshots of followers stay complete, and missed updates are
+//! noticed.
 
 use {
     super::{TargetUpdateMessage, TargetUpdates},
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -1,5 +1,5 @@
-//! Reads of the targets from the store: by the leader continually, by other instances when heartbeats
-//! do not confirm what they know.
+//! Reads of the targets from the store: by the leader continually, by other instances when
+//! heartbeats do not confirm their snapshot.
 
 use {
     crate::{
@@ -23,8 +23,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Age of the snapshot at which the targets are read from the store.
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(1500);
-/// The same for the leader, which has to reassign the keys of draining targets and informs the other
-/// instances.
+/// The same for the leader, which has to reassign the keys of draining targets and informs the
+/// other instances.
 const LEADER_SNAPSHOT_AGE: Duration = Duration::from_millis(600);
 
 /// Keeps the targets up to date; never returns.
