--- a/crates/cowslipcross/src/peers/assignments.rs
+++ b/crates/cowslipcross/src/peers/assignments.rs
@@ -17,15 +17,15 @@
     tokio::time::Instant,
 };
 
-/// Time since a change was recorded for which heartbeats include it.
+/// Time for which heartbeats include a change after it was recorded.
 const CHANGE_MAX_AGE: Duration = Duration::from_millis(700);
 /// Time after which assignments are requested again if there was no reply.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
-/// Requests without a reply after which the store is read instead.
+/// Requests in a row, for any service, without a reply after which the store is read instead.
 const MAX_REQUESTS: u32 = 3;
 /// A larger change is left out of heartbeats.
 const MAX_CHANGED_ASSIGNMENTS: usize = 200;
-/// More assignments than this are not sent in reply to a request; they are read from the store.
+/// A service with more assignments than this is read from the store rather than requested.
 const MAX_SENT_ASSIGNMENTS: usize = 700;
 
 /// Returns the versions of recorded assignments by service, with recent changes, for a heartbeat.
@@ -43,7 +43,7 @@
             assignments: included.map_or_else(Vec::new, |it| {
                 it.assignments.iter().map(Into::into).collect()
             }),
-            too_large: it.table.assignments.len() > MAX_SENT_ASSIGNMENTS,
+            large_table: it.table.assignments.len() > MAX_SENT_ASSIGNMENTS,
         };
         (name.clone(), update)
     });
@@ -66,7 +66,7 @@
     let matching = known.filter(|it| it.version == update.base_version);
     let Some(known) = matching else {
         drop(owners);
-        return request_assignments(context, service, (update.too_large, leader));
+        return request_assignments(context, service, (update.large_table, leader));
     };
     let mut table = (*known.table).clone();
     drop(owners);
@@ -77,7 +77,11 @@
 
 /// Requests all assignments of a service from the leader, unless that was done within
 /// [`REQUEST_INTERVAL`]; has them read from the store if they are too many or no reply came.
-fn request_assignments(context: &Context, service: &Name, (too_large, leader): (bool, SocketAddr)) {
+fn request_assignments(
+    context: &Context,
+    service: &Name,
+    (large_table, leader): (bool, SocketAddr),
+) {
     let (requests, last_request) = context.owner_requests.get();
     if last_request.is_some_and(|at| at.elapsed() < REQUEST_INTERVAL) {
         return;
@@ -85,7 +89,7 @@
     context
         .owner_requests
         .set((requests + 1, Some(Instant::now())));
-    match requests < MAX_REQUESTS && !too_large {
+    match requests < MAX_REQUESTS && !large_table {
         true => datagram::try_send(
             context,
             &Message::AssignmentsRequest(service.clone()),
@@ -104,7 +108,7 @@
     let update = AssignmentUpdate {
         version: known.version,
         base_version: 0,
-        too_large: false,
+        large_table: false,
         assignments: known.table.assignments.iter().map(Into::into).collect(),
     };
     let message = Message::Assignments(service.clone(), update);
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -47,6 +47,7 @@
 
 /// Receives and handles messages of other instances; never returns.
 pub async fn receive_messages(context: Rc<Context>) {
+    // Larger than any datagram that instances send.
     let mut buffer = vec![0; 2 * fragments::MAX_DATAGRAM_BYTES];
     let mut reassembler = Reassembler::default();
     loop {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Sends a message without waiting; datagrams that the socket cannot take at once are dropped.
+/// Sends a message without waiting; datagrams that the socket cannot take at once are dropped and
+/// counted as bad ones.
 pub fn try_send(context: &Context, message: &Message, recipient: SocketAddr) {
     let Some(datagrams) = context.peer_socket.encode_datagrams(message) else {
         return context.metrics.count_bad_datagram();
--- a/crates/cowslipcross/src/peers/fragments.rs
+++ b/crates/cowslipcross/src/peers/fragments.rs
@@ -8,7 +8,7 @@
     tokio::time::Instant,
 };
 
-/// Largest datagram that is sent.
+/// Largest datagram that is sent; below the usual MTU of 1500 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// First byte of a fragment.
 const FRAGMENT_MARKER: u8 = 0xf1;
--- a/crates/cowslipcross/src/peers/fragments_tests.rs
+++ b/crates/cowslipcross/src/peers/fragments_tests.rs
@@ -74,8 +74,11 @@
     let now = Instant::now();
     let mut reassembler = Reassembler::default();
     for malformed in [
+        // No complete header.
         &[0xf1][..],
+        // Index 3 of 2 fragments.
         &[0xf1, 0, 0, 0, 1, 3, 2, 9],
+        // More fragments than a message may have.
         &[0xf1, 0, 0, 0, 1, 0, 255],
     ] {
         assert_eq!(reassembler.add_datagram(peer(1), malformed, now), None);
--- a/crates/cowslipcross/src/peers/heartbeat_protocol.rs
+++ b/crates/cowslipcross/src/peers/heartbeat_protocol.rs
@@ -40,7 +40,7 @@
     pub received_at: Instant,
 }
 
-/// Applies a heartbeat, unless the version of the leader's row shows that its sender leads no more.
+/// Applies a heartbeat unless the version of the leader's row shows that its sender no longer leads.
 pub fn on_heartbeat(context: &Context, heartbeat: LeaderHeartbeat, from: SocketAddr) {
     context
         .events
@@ -58,7 +58,7 @@
     for (service, update) in &heartbeat.assignment_updates {
         assignments::apply_update(context, service, update, from);
     }
-    targets::handle_update(context, heartbeat.targets);
+    targets::handle_update(context, heartbeat.target_update);
 }
 
 /// Replaces the membership by the one that the leader sent.
@@ -69,7 +69,7 @@
     }
 }
 
-/// Records a report; the leader sends the membership to an instance that has another one.
+/// Records a report; the leader sends its membership if that of the reporting instance differs.
 pub fn on_report(context: &Context, report: InstanceReport, from: SocketAddr) {
     context
         .events
@@ -88,7 +88,7 @@
     let weight = membership::cpu_weight(context.settings.cpu);
     loop {
         sleep(REPORT_INTERVAL).await;
-        // Counts are reset even if there is no leader to report to, as old ones say little.
+        // Key counts are reset even if there is no leader to report to, as old counts say little.
         let report = InstanceReport {
             timestamp: context.events.next_timestamp().into(),
             weight,
@@ -99,6 +99,7 @@
             service_times: permit::paces(&context),
         };
         match context.leader_address.get() {
+            // The leader handles its own report without sending it.
             Some(own) if own == context.settings.listen.heartbeats => {
                 on_report(&context, report, own);
             }
@@ -126,7 +127,7 @@
         instance_count: count,
         membership_hash: membership.hash(),
         config_version: context.operator_version.get(),
-        targets: target_updates::next_message(context),
+        target_update: target_updates::next_message(context),
     });
     let own = context.settings.listen.heartbeats;
     let others = membership.members().iter().map(|it| it.address);
--- a/crates/cowslipcross/src/peers/membership.rs
+++ b/crates/cowslipcross/src/peers/membership.rs
@@ -14,7 +14,7 @@
 /// Weight of an instance with one CPU core.
 const WEIGHT_PER_CORE: f64 = 100.0;
 
-/// An instance that the leader counts.
+/// An instance that has recently reported to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
     /// Address of its UDP socket.
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -1,6 +1,6 @@
 //! Messages between instances.
 //!
-//! Names on the wire are single letters, as permits are asked for with every request.
+//! Names on the wire are single letters to keep messages short, as every request asks for a permit.
 
 use {
     crate::views::target_updates::TargetUpdateMessage,
@@ -118,15 +118,15 @@
     /// Number of instances among which shared limits are divided.
     #[serde(rename = "i")]
     pub instance_count: u32,
-    /// Hash of the membership.
+    /// Hash of the membership; receivers do not read it.
     #[serde(rename = "h")]
     pub membership_hash: u32,
     /// Highest version of an operators' row that the leader has applied.
     #[serde(rename = "v")]
     pub config_version: u64,
-    /// Recent changes of targets.
+    /// Recent changes of targets, or a confirmation that there are none.
     #[serde(rename = "t")]
-    pub targets: TargetUpdateMessage,
+    pub target_update: TargetUpdateMessage,
 }
 
 /// Load and state of an instance, sent to the leader.
@@ -167,10 +167,10 @@
     /// Assignments that were added or replaced; all of them in [`Message::Assignments`].
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub assignments: Vec<WireAssignment>,
-    /// Whether an instance that missed an update has to read the store, as the assignments are too
-    /// many for a message.
+    /// Whether the service has too many assignments for a message: an instance that missed an update
+    /// has to read the store.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
-    pub too_large: bool,
+    pub large_table: bool,
 }
 
 /// First key, last key, owner (id, incarnation), fence.
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -109,6 +109,7 @@
         (OperatorRow::Config, Some(body)) => apply_config(context, body),
         (OperatorRow::Withdrawn(name), Some(_)) => withdraw_data_centre(context, name.into()),
         (OperatorRow::Withdrawn(name), None) => restore_data_centre(context, &name.into()),
+        // A configuration stays in force when its row is deleted.
         _ => {}
     }
 }
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -8,12 +8,12 @@
     tokio::time::Instant,
 };
 
-/// Time without a confirmed view after which missing reports may have lapsed because the store was
-/// unavailable to the targets.
+/// Time without a confirmation of the snapshot after which missing reports may have lapsed because
+/// the store was unavailable to the targets, too.
 const MAX_READ_GAP: Duration = Duration::from_millis(2200);
 /// Time after the store has recovered within which live targets report again.
 const REPORT_GRACE_PERIOD: Duration = Duration::from_millis(2300);
-/// Time by which a target has to stay cold for longer than known to count as changed.
+/// A report is no change if it moves the end of a target's cold time by no more than this.
 const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A target as last reported, with the local times of its changes.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetSnapshot {
     views: BTreeMap<Name, TargetView>,
-    /// Version of the store whose reports are all included.
+    /// Store version up to which all reports are included.
     store_version: u64,
     /// Version of the store at the last change.
     changed_version: u64,
@@ -152,6 +152,7 @@
         let (version, base_version) = (message.version, message.base_version);
         let confirmed_at = self.confirmed_at.max(read_at);
         if self.confirmed_at.is_some() && self.store_version >= version {
+            // Reads here have included the leader's last change already.
             let changed_version = version.max(self.changed_version);
             return UpdateResult::Confirmed(Self {
                 confirmed_at,
--- a/crates/cowslipcross/src/views/target_updates.rs
+++ b/crates/cowslipcross/src/views/target_updates.rs
@@ -21,8 +21,8 @@
 /// Changed targets by id, with their new report; `None` for a removed target.
 pub type TargetChanges = BTreeMap<Name, Option<TargetReport>>;
 
-/// Latest updates that this instance has read from the store, the earliest first; each applies to
-/// the version of the one before it.
+/// Latest differences between two reads of the store by this instance, the earliest first; each
+/// applies to the version of the one before it.
 #[derive(Debug, Default)]
 pub struct TargetUpdates(Vec<TargetUpdate>);
 
--- a/crates/cowslipcross/src/views/target_updates_tests.rs
+++ b/crates/cowslipcross/src/views/target_updates_tests.rs
@@ -68,6 +68,7 @@
 fn a_heartbeat_without_changes_confirms_a_snapshot() {
     let start = Instant::now();
     let all = [target("a", false, 0), target("b", false, 0)];
+    // The follower has read a later version of the store than the leader, with the same reports.
     let (mut leader, follower) = (Leader::new(), read(&all, 10, start));
     leader.read(&all, 9, start);
     let later = start + millis(1500);
@@ -87,6 +88,7 @@
     let start = Instant::now();
     let mut leader = Leader::new();
     leader.read(&[target("a", false, 0), target("b", false, 0)], 9, start);
+    // The follower has read a later version of the store than the leader, with the same reports.
     let follower = read(&[target("a", false, 0), target("b", false, 0)], 12, start);
     let later = start + millis(900);
     leader.read(&[target("b", true, 0), target("c", false, 3000)], 40, later);
@@ -115,7 +117,7 @@
     };
     let UpdateResult::Changed(second) = snapshot.apply_message(leader.send_message(now), now)
     else {
-        panic!("the second change is new to it");
+        panic!("the second change is new to the first one's snapshot");
     };
     for snapshot in [first, second] {
         let ids: Vec<_> = snapshot.all().map(|it| it.report.id.to_string()).collect();
@@ -128,6 +130,7 @@
     let start = Instant::now();
     let mut leader = Leader::new();
     leader.read(&[target("a", false, 0)], 9, start);
+    // The follower has read a later version of the store than the leader, with the same reports.
     let follower = read(&[target("a", false, 0)], 12, start);
     leader.read(&[], 40, start + millis(900));
     let later = start + millis(2500);
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -1,4 +1,4 @@
-//! Reads of the targets from the store: by the leader continually, by other instances when
+//! Reads of the targets from the store: by the leader periodically, by other instances when
 //! heartbeats do not confirm their snapshot.
 
 use {
@@ -25,7 +25,7 @@
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(1500);
 /// The same for the leader, which has to reassign the keys of draining targets and informs the
 /// other instances.
-const LEADER_SNAPSHOT_AGE: Duration = Duration::from_millis(600);
+const LEADER_MAX_AGE: Duration = Duration::from_millis(600);
 
 /// Keeps the targets up to date; never returns.
 pub async fn poll_targets(context: Rc<Context>) {
@@ -49,7 +49,7 @@
 async fn wait_until_due(context: &Context) {
     loop {
         let max_age = if context.is_leader() {
-            LEADER_SNAPSHOT_AGE
+            LEADER_MAX_AGE
         } else {
             SNAPSHOT_MAX_AGE
         };
