--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -12,7 +12,7 @@
         endpoints,
         events::{self, EventFields},
         lead::{leader_loop, leader_row},
-        peers::{beat, datagram},
+        peers::{datagram, heartbeat_protocol},
         serve::{permits, server},
         stop,
         views::{config, targets},
@@ -71,10 +71,10 @@
             context.record_event(events::TASK_FAILED, format!("operators' port: {error:#}"))
         }
     }
-    spawn_local(config::follow(context.clone()));
-    spawn_local(targets::follow(context.clone()));
-    spawn_local(datagram::receive(context.clone()));
-    spawn_local(beat::report(context.clone()));
+    spawn_local(config::watch_config(context.clone()));
+    spawn_local(targets::poll_targets(context.clone()));
+    spawn_local(datagram::receive_messages(context.clone()));
+    spawn_local(heartbeat_protocol::send_reports(context.clone()));
     spawn_local(permits::process_queues(context.clone()));
     spawn_local(leader_row::run_election(context.clone()));
     spawn_local(leader_loop::run(context.clone()));
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -11,9 +11,9 @@
             target_status::{TargetStatus, target_statuses},
         },
         peers::{
-            beat::{self, Heard, Members},
+            heartbeat_protocol::{self, MemberReport, MemberReports},
             membership::{Member, Membership},
-            message::Report,
+            message::InstanceReport,
         },
     },
     cowslip_decide::{
@@ -127,7 +127,7 @@
     /// Mean service time of targets in milliseconds.
     service_times: BTreeMap<Name, u32>,
     /// Instances that report, by address.
-    pub members: Members,
+    pub members: MemberReports,
 }
 
 /// Returns the time after which no grant is in force if this leader sends no more.
@@ -164,12 +164,13 @@
     let own = context.settings.listen.heartbeats;
     let reports = context.peer_reports.borrow();
     let candidates = reports.members.iter();
-    let candidates = candidates.filter(|(address, heard)| heard.able && **address != own);
+    let candidates =
+        candidates.filter(|(address, heard)| heard.store_reachable && **address != own);
     let members = candidates.map(|(address, heard)| Member {
         address: *address,
         weight: heard.weight,
     });
-    Membership::new(members.collect()).strongest(own)
+    Membership::new(members.collect()).strongest_except(own)
 }
 
 /// Adds the members known from the previous leader, so that this one's heartbeats reach them before
@@ -178,26 +179,26 @@
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
     for member in context.membership.borrow().members() {
-        let heard = Heard {
+        let heard = MemberReport {
             weight: member.weight,
-            able: false,
-            at: now,
+            store_reachable: false,
+            received_at: now,
         };
         reports.members.entry(member.address).or_insert(heard);
     }
 }
 
 /// Applies an instance's report.
-pub fn apply_report(context: &Context, from: SocketAddr, report: Report) {
+pub fn apply_report(context: &Context, from: SocketAddr, report: InstanceReport) {
     let mut reports = context.peer_reports.borrow_mut();
-    let heard = Heard {
+    let heard = MemberReport {
         weight: report.weight,
-        able: report.able,
-        at: Instant::now(),
+        store_reachable: report.store_reachable,
+        received_at: Instant::now(),
     };
     reports.members.insert(from, heard);
-    reports.service_times.extend(report.paces);
-    for (service, keys) in report.keys {
+    reports.service_times.extend(report.service_times);
+    for (service, keys) in report.key_counts {
         let key_loads = reports.key_loads.entry(service).or_default();
         for (key, requests) in keys {
             key_loads.add_requests(key, f64::from(requests));
@@ -241,7 +242,7 @@
             && last_heartbeat.elapsed() >= HEARTBEAT_GAP_PER_MEMBER * member_count;
         if is_change_due || last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
             (last_heartbeat, announced) = (Instant::now(), versions);
-            beat::beat(&context).await;
+            heartbeat_protocol::send_heartbeat(&context).await;
         }
     }
 }
@@ -259,7 +260,7 @@
         let owners = context.owners.borrow();
         Self {
             config: context.operator_version.get(),
-            targets: context.targets.borrow().changed(),
+            targets: context.targets.borrow().changed_version(),
             owners: owners.values().map(|it| it.version).collect(),
         }
     }
@@ -358,7 +359,7 @@
         Some(time) => (mean / f64::from(*time).max(1.0)).clamp(MIN_SPEED, MAX_SPEED),
         None => 1.0,
     };
-    let slots = |id: &Name| targets.get(id).map_or(1, |it| it.target.slots) as f64;
+    let slots = |id: &Name| targets.get(id).map_or(1, |it| it.report.slots) as f64;
     let select = |cold: bool| {
         let chosen = statuses
             .iter()
@@ -386,7 +387,7 @@
     }
     let incarnations = targets
         .all()
-        .map(|it| (it.target.address, it.target.incarnation));
+        .map(|it| (it.report.address, it.report.incarnation));
     let incarnations: BTreeMap<SocketAddr, u64> = incarnations.collect();
     let replaced = missing.into_iter().filter(|owner| {
         let address = context.target_address(owner);
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -182,8 +182,8 @@
 /// a position.
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
-    let weight = membership::weight(context.settings.cpu);
-    let other = context.membership.borrow().strongest(own);
+    let weight = membership::cpu_weight(context.settings.cpu);
+    let other = context.membership.borrow().strongest_except(own);
     ClaimDelay {
         duration: position_delay(context, random_delay),
         includes_own: other.is_some_and(|it| it.weight >= weight.saturating_mul(STRONGER_FACTOR)),
@@ -193,8 +193,8 @@
 /// Returns the time for which this instance waits for the members before it.
 fn position_delay(context: &Context, random_delay: Duration) -> Duration {
     let own = context.settings.listen.heartbeats;
-    let is_weak = membership::weight(context.settings.cpu) < STRONG_WEIGHT;
-    match context.membership.borrow().rank(own) {
+    let is_weak = membership::cpu_weight(context.settings.cpu) < STRONG_WEIGHT;
+    match context.membership.borrow().position(own) {
         Some(position) => (DELAY_PER_POSITION * position as u32).min(MAX_POSITION_DELAY),
         None if is_weak => WEAK_DELAY + random_delay,
         None => random_delay,
@@ -207,7 +207,7 @@
     if !context.is_leader() || since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
         return false;
     }
-    let own = membership::weight(context.settings.cpu);
+    let own = membership::cpu_weight(context.settings.cpu);
     let successor = leader_loop::find_successor(context);
     let is_stronger = successor.is_some_and(|it| it.weight >= own.saturating_mul(STRONGER_FACTOR));
     if is_stronger {
@@ -512,7 +512,7 @@
     };
     context.record_event(events::LEADERSHIP_LOST, detail);
     if let Some(successor) = leader_loop::find_successor(context) {
-        datagram::send_now(context, &Message::Lead, successor.address);
+        datagram::try_send(context, &Message::LeadershipOffer, successor.address);
     }
 }
 
--- a/crates/cowslipcross/src/lead/target_status.rs
+++ b/crates/cowslipcross/src/lead/target_status.rs
@@ -1,7 +1,7 @@
 //! Which targets may own keys.
 
 use {
-    crate::{context::Context, views::seen::Seen},
+    crate::{context::Context, views::target_snapshot::TargetView},
     cowslip_decide::names::Name,
     std::collections::BTreeMap,
     tokio::time::Instant,
@@ -23,14 +23,14 @@
     let now = Instant::now();
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
-    let status = |view: &Seen| {
-        let target = &view.target;
+    let status = |view: &TargetView| {
+        let target = &view.report;
         let status = TargetStatus {
             incarnation: target.incarnation,
-            can_own: view.leaving.is_none() && !withdrawn.contains_key(&target.data_centre),
+            can_own: view.draining_since.is_none() && !withdrawn.contains_key(&target.data_centre),
             is_cold: view.is_cold(now),
         };
         (target.id.clone(), status)
     };
-    targets.of(service).map(status).collect()
+    targets.for_service(service).map(status).collect()
 }
--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -89,10 +89,10 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let message = Message::Done {
+        let message = Message::PermitReturned {
             number: self.number,
             outcome: encode_outcome(self.outcome.get()),
-            slowness: self.slowdown.get(),
+            slowdown: self.slowdown.get(),
         };
         self.context
             .permits
@@ -180,15 +180,15 @@
 ) -> Message {
     let now = Instant::now();
     let millis_until = |time: Instant| time.saturating_duration_since(now).as_millis() as u64;
-    Message::Ask {
+    Message::PermitRequest {
         number,
         service: pool_key.0.clone(),
         target: pool_key.1.clone(),
-        rank: request.route.priority,
-        left: millis_until(request.deadline),
-        goal: millis_until(request.arrived + request.route.latency_goal),
+        priority: request.route.priority,
+        deadline_ms: millis_until(request.deadline),
+        goal_ms: millis_until(request.arrived + request.route.latency_goal),
         data_centre: context.settings.data_centre.clone(),
-        tried: excluded.to_vec(),
+        excluded: excluded.to_vec(),
     }
 }
 
@@ -219,46 +219,46 @@
     let is_eligible = |member: &SocketAddr| skipped.get(member).is_none_or(|until| *until <= now);
     let target = pool_key.1.as_deref().unwrap_or_default();
     let membership = context.membership.borrow();
-    membership.holder(&format!("{} {target}", pool_key.0), is_eligible)
+    membership.select_coordinator(&format!("{} {target}", pool_key.0), is_eligible)
 }
 
 /// Handles a datagram about permits; other messages are ignored.
 pub fn handle_message(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Ask {
+        Message::PermitRequest {
             number,
             service,
             target,
-            rank,
-            left,
-            goal,
+            priority,
+            deadline_ms,
+            goal_ms,
             data_centre,
-            tried,
+            excluded,
         } => {
             let now = Instant::now();
             let permit_request = PermitRequest {
-                priority: rank,
-                latency_goal: now + Duration::from_millis(goal),
-                deadline: now + Duration::from_millis(left),
+                priority,
+                latency_goal: now + Duration::from_millis(goal_ms),
+                deadline: now + Duration::from_millis(deadline_ms),
                 data_centre,
-                excluded: tried,
+                excluded,
             };
             handle_request(context, (from, number), (service, target), permit_request);
         }
-        Message::Done {
+        Message::PermitReturned {
             number,
             outcome,
-            slowness,
-        } => handle_return(context, &(from, number), decode_outcome(outcome), slowness),
-        Message::Granted { number, target } => {
+            slowdown,
+        } => handle_return(context, &(from, number), decode_outcome(outcome), slowdown),
+        Message::PermitGranted { number, target } => {
             store_reply(context, number, PermitReply::Granted(target))
         }
-        Message::Queued { number } => store_reply(context, number, PermitReply::Queued),
-        Message::Refused { number, wait } => {
+        Message::PermitQueued { number } => store_reply(context, number, PermitReply::Queued),
+        Message::PermitRefused { number, wait_ms } => {
             store_reply(
                 context,
                 number,
-                PermitReply::Refused(Duration::from_millis(wait)),
+                PermitReply::Refused(Duration::from_millis(wait_ms)),
             );
         }
         _ => {}
@@ -382,11 +382,11 @@
     reply: PermitReply,
 ) {
     let message = match reply {
-        PermitReply::Granted(target) => Message::Granted { number, target },
-        PermitReply::Queued => Message::Queued { number },
-        PermitReply::Refused(wait) => Message::Refused {
+        PermitReply::Granted(target) => Message::PermitGranted { number, target },
+        PermitReply::Queued => Message::PermitQueued { number },
+        PermitReply::Refused(wait) => Message::PermitRefused {
             number,
-            wait: wait.as_millis() as u64,
+            wait_ms: wait.as_millis() as u64,
         },
     };
     send_message(context, message, address);
@@ -396,7 +396,7 @@
 fn send_message(context: &Context, message: Message, to: SocketAddr) {
     match to == context.settings.listen.heartbeats {
         true => handle_message(context, message, to),
-        false => datagram::send_now(context, &message, to),
+        false => datagram::try_send(context, &message, to),
     }
 }
 
@@ -409,19 +409,21 @@
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     targets
-        .of(service)
+        .for_service(service)
         .filter(|view| match owner {
             // The requesting instance decides whether the owner of a key may still get requests.
-            Some(owner) => view.target.id == *owner,
-            None => view.leaving.is_none() && !withdrawn.contains_key(&view.target.data_centre),
+            Some(owner) => view.report.id == *owner,
+            None => {
+                view.draining_since.is_none() && !withdrawn.contains_key(&view.report.data_centre)
+            }
         })
         .map(|view| {
             let pool_target = PoolTarget {
-                slots: view.target.slots.min(1000) as u32,
-                data_centre: view.target.data_centre.clone(),
+                slots: view.report.slots.min(1000) as u32,
+                data_centre: view.report.data_centre.clone(),
                 cold_rate: view.is_cold(now).then_some(max_rate),
             };
-            (view.target.id.clone(), pool_target)
+            (view.report.id.clone(), pool_target)
         })
         .collect()
 }
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -4,7 +4,7 @@
     crate::{
         context::Context,
         serve::{request::CallerRequest, target_connections::TargetConnections},
-        views::seen::{Seen, Targets},
+        views::target_snapshot::{TargetSnapshot, TargetView},
     },
     cowslip_adapter::config::Service,
     cowslip_decide::{
@@ -68,7 +68,7 @@
 fn select_owner(
     context: &Context,
     request: &CallerRequest,
-    (targets, key): (&Targets, u16),
+    (targets, key): (&TargetSnapshot, u16),
     now: Instant,
 ) -> Selection {
     let owners = context.owners.borrow();
@@ -89,17 +89,17 @@
     };
     let Some(view) = targets
         .get(&owner_incarnation.id)
-        .filter(|it| it.target.incarnation == owner_incarnation.incarnation)
+        .filter(|it| it.report.incarnation == owner_incarnation.incarnation)
     else {
         return Selection::Wait(POLL_INTERVAL);
     };
     let is_drain_over = |since: Instant| now - since > OWNER_DRAIN_TIME;
-    if view.leaving.is_some_and(is_drain_over)
+    if view.draining_since.is_some_and(is_drain_over)
         || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
     {
         return Selection::Wait(POLL_INTERVAL);
     }
-    Selection::Owner(connections_to(context, view, now), view.target.id.clone())
+    Selection::Owner(connections_to(context, view, now), view.report.id.clone())
 }
 
 /// Returns the connections to a target of an unsharded service; `None` if it may get no new work.
@@ -115,8 +115,8 @@
 }
 
 /// Returns whether a target of an unsharded service may get new work.
-fn is_available(context: &Context, view: &Seen, now: Instant) -> bool {
-    view.leaving.is_none() && !is_withdrawn(context, view, now, 0.0)
+fn is_available(context: &Context, view: &TargetView, now: Instant) -> bool {
+    view.draining_since.is_none() && !is_withdrawn(context, view, now, 0.0)
 }
 
 /// Takes a token of this instance's share of a cold target's rate; a warm target needs none.
@@ -156,16 +156,16 @@
 ) -> Result<(Rc<TargetConnections>, Name), Duration> {
     let now = Instant::now();
     let targets = context.targets.borrow().clone();
-    let available: Vec<&Seen> = targets
-        .of(&request.service)
+    let available: Vec<&TargetView> = targets
+        .for_service(&request.service)
         .filter(|view| is_available(context, view, now))
-        .filter(|view| !excluded.contains(&view.target.id))
+        .filter(|view| !excluded.contains(&view.report.id))
         .collect();
     let warm = available.iter().filter(|view| !view.is_cold(now));
     let best = warm
         .map(|view| {
             let connections = connections_to(context, view, now);
-            let is_nearby = view.target.data_centre == context.settings.data_centre;
+            let is_nearby = view.report.data_centre == context.settings.data_centre;
             let cost = (
                 connections.is_avoided(now),
                 expected_seconds(&connections, is_nearby, now),
@@ -174,12 +174,12 @@
         })
         .min_by(|(_, _, a), (_, _, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     if let Some((connections, view, _)) = best {
-        return Ok((connections, view.target.id.clone()));
+        return Ok((connections, view.report.id.clone()));
     }
     let mut retry_after = POLL_INTERVAL;
     for view in available {
-        match take_cold_token(context, request, &view.target.id) {
-            Ok(()) => return Ok((connections_to(context, view, now), view.target.id.clone())),
+        match take_cold_token(context, request, &view.report.id) {
+            Ok(()) => return Ok((connections_to(context, view, now), view.report.id.clone())),
             Err(wait) => retry_after = wait,
         }
     }
@@ -222,21 +222,21 @@
 
 /// Returns whether a target's data centre has been withdrawn for `factor` times the setting
 /// `bounds.withdrawal`.
-fn is_withdrawn(context: &Context, view: &Seen, now: Instant, factor: f64) -> bool {
+fn is_withdrawn(context: &Context, view: &TargetView, now: Instant, factor: f64) -> bool {
     let withdrawn = context.withdrawn.borrow();
     let limit = context.bounds.borrow().withdrawal.mul_f64(factor);
-    let since = withdrawn.get(&view.target.data_centre);
+    let since = withdrawn.get(&view.report.data_centre);
     since.is_some_and(|since| now - *since >= limit)
 }
 
 /// Returns the connections to the current incarnation of a target.
-fn connections_to(context: &Context, view: &Seen, now: Instant) -> Rc<TargetConnections> {
+fn connections_to(context: &Context, view: &TargetView, now: Instant) -> Rc<TargetConnections> {
     let mut all = context.connections.borrow_mut();
-    let id = &view.target.id;
-    if let Some(known) = all.get(id).filter(|it| it.matches_target(&view.target)) {
+    let id = &view.report.id;
+    if let Some(known) = all.get(id).filter(|it| it.matches_target(&view.report)) {
         return known.clone();
     }
-    let created = Rc::new(TargetConnections::new(&view.target, now));
+    let created = Rc::new(TargetConnections::new(&view.report, now));
     all.insert(id.clone(), created.clone());
     created
 }
