--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Sends a message without waiting; datagrams that the socket cannot take at once are dropped and
-/// counted as bad ones.
+/// Sends a message without waiting, as datagrams may be lost anyway: those that the socket cannot
+/// take at once are dropped and counted as bad ones.
 pub fn try_send(context: &Context, message: &Message, recipient: SocketAddr) {
     let Some(datagrams) = context.peer_socket.encode_datagrams(message) else {
         return context.metrics.count_bad_datagram();
--- a/crates/cowslipcross/src/peers/heartbeat_protocol.rs
+++ b/crates/cowslipcross/src/peers/heartbeat_protocol.rs
@@ -40,7 +40,8 @@
     pub received_at: Instant,
 }
 
-/// Applies a heartbeat unless the version of the leader's row shows that its sender no longer leads.
+/// Applies a heartbeat, unless the version of the leader's row shows that the sender no longer
+/// leads.
 pub fn on_heartbeat(context: &Context, heartbeat: LeaderHeartbeat, from: SocketAddr) {
     context
         .events
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -167,8 +167,8 @@
     /// Assignments that were added or replaced; all of them in [`Message::Assignments`].
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub assignments: Vec<WireAssignment>,
-    /// Whether the service has too many assignments for a message: an instance that missed an update
-    /// has to read the store.
+    /// Whether the service has too many assignments for a message: an instance that missed an
+    /// update has to read the store.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub large_table: bool,
 }
