--- a/crates/cowslipcross/src/status.rs
+++ b/crates/cowslipcross/src/status.rs
@@ -81,14 +81,14 @@
     fn from(context: &Context) -> Self {
         let now = Instant::now();
         let elapsed_ms = |confirmed: Option<Instant>| confirmed.map(|it| millis(now - it));
-        let owners_ms = match context.is_leader() {
+        let owners_age = match context.is_leader() {
             true => Some(0),
             false => elapsed_ms(context.last_heartbeat.get()),
         };
         Self {
             config_ms: elapsed_ms(context.config_confirmed.get()),
             targets_ms: context.targets.borrow().age(now).map(millis),
-            owners_ms,
+            owners_ms: owners_age,
         }
     }
 }
