--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,7 +1,7 @@
 //! Callers that keep their connections for as long as these serve.
 
 use {
-    crate::history::{End, History, Kind, Sent},
+    crate::history::{History, RequestKind, RequestOutcome, RequestRecord},
     bytes::Bytes,
     http::Request,
     http_body_util::{BodyExt, Full},
@@ -25,12 +25,12 @@
 const HOT: (f64, u64) = (0.3, 8);
 
 /// Where a caller sends: names and addresses of the instances.
-pub type Doors = Vec<(String, SocketAddr)>;
+pub type InstanceAddresses = Vec<(String, SocketAddr)>;
 
 type Link = SendRequest<Full<Bytes>>;
 
 /// Sends requests until this is dropped.
-pub async fn call(number: u64, seed: u64, doors: Doors, history: History) {
+pub async fn run_caller(number: u64, seed: u64, doors: InstanceAddresses, history: History) {
     let mut random = StdRng::seed_from_u64(seed ^ (number << 32));
     let mut open: Option<(usize, Link)> = None;
     for count in 0u64.. {
@@ -46,31 +46,31 @@
         let request = request(kind, &id, key(&mut random));
         let at = Instant::now();
         let end = send(&mut link, request, &id).await;
-        if matches!(end, End::Answer(..)) {
+        if matches!(end, RequestOutcome::Response(..)) {
             open = Some((door, link));
         }
-        history.sent(Sent {
+        history.add_request(RequestRecord {
             id,
             kind,
             instance: doors[door].0.clone(),
-            at,
-            until: Instant::now(),
-            end,
+            sent_at: at,
+            ended_at: Instant::now(),
+            outcome: end,
         });
     }
 }
 
 /// Sends one request to an instance; returns how it ended, or `None` without a connection.
-pub async fn probe(address: SocketAddr, id: &str, key: u64) -> Option<End> {
+pub async fn send_probe(address: SocketAddr, id: &str, key: u64) -> Option<RequestOutcome> {
     let (_, mut link) = dial(0, &[(String::new(), address)]).await?;
-    Some(send(&mut link, request(Kind::Order, id, key), id).await)
+    Some(send(&mut link, request(RequestKind::Removal, id, key), id).await)
 }
 
-fn kind(random: &mut StdRng) -> Kind {
+fn kind(random: &mut StdRng) -> RequestKind {
     match random.random_range(0..10) {
-        0..5 => Kind::Lookup,
-        5..8 => Kind::Order,
-        _ => Kind::Booking,
+        0..5 => RequestKind::Lookup,
+        5..8 => RequestKind::Removal,
+        _ => RequestKind::Booking,
     }
 }
 
@@ -81,11 +81,11 @@
     }
 }
 
-fn request(kind: Kind, id: &str, key: u64) -> Request<Full<Bytes>> {
+fn request(kind: RequestKind, id: &str, key: u64) -> Request<Full<Bytes>> {
     let (method, path) = match kind {
-        Kind::Lookup => ("GET", "/lookup/x"),
-        Kind::Order => ("POST", "/remove/x"),
-        Kind::Booking => ("PUT", "/book/x"),
+        RequestKind::Lookup => ("GET", "/lookup/x"),
+        RequestKind::Removal => ("POST", "/remove/x"),
+        RequestKind::Booking => ("PUT", "/book/x"),
     };
     Request::builder()
         .method(method)
@@ -107,18 +107,18 @@
     Some((door, link))
 }
 
-async fn send(link: &mut Link, request: Request<Full<Bytes>>, id: &str) -> End {
+async fn send(link: &mut Link, request: Request<Full<Bytes>>, id: &str) -> RequestOutcome {
     let exchange = async {
         // A connection that ended before the request left has taken nothing.
         link.ready().await?;
         let answer = link.send_request(request).await?;
         let status = answer.status().as_u16();
         let body = answer.into_body().collect().await?.to_bytes();
-        Ok::<_, hyper::Error>(End::Answer(status, body == id.as_bytes()))
+        Ok::<_, hyper::Error>(RequestOutcome::Response(status, body == id.as_bytes()))
     };
     match timeout(PATIENCE + SILENCE, exchange).await {
         Ok(Ok(end)) => end,
-        Ok(Err(_)) => End::Cut,
-        Err(_) => End::Silence,
+        Ok(Err(_)) => RequestOutcome::ConnectionClosed,
+        Err(_) => RequestOutcome::TimedOut,
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        fleet::{DATA_CENTRES, Place},
-        history::{History, What},
+        history::{EventKind, History},
         instance::Instance,
-        proxy::Way,
+        proxy::ProxyMode,
+        targets::{DATA_CENTRES, ProxiedTarget},
     },
     cowslip_adapter_standins::{
         config::build_config,
@@ -32,17 +32,17 @@
 
 /// A deployment that faults are done to.
 #[derive(Debug)]
-pub struct World {
+pub struct Deployment {
     /// The store.
     pub store: FakeStore,
     /// Targets.
-    pub places: Vec<Mutex<Place>>,
+    pub targets: Vec<Mutex<ProxiedTarget>>,
     /// Instances.
     pub instances: Vec<Mutex<Instance>>,
     /// What happened.
     pub history: History,
     /// Lets one withdrawal of a data centre after another.
-    pub withdrawing: [Mutex<()>; DATA_CENTRES.len()],
+    pub withdrawal_locks: [Mutex<()>; DATA_CENTRES.len()],
     /// Version of the configuration, and the place in the history of what it says.
     pub config: Mutex<(u32, Option<usize>)>,
 }
@@ -51,35 +51,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The store treats all calls like this.
-    Store(store::StoreMode),
+    StoreMode(store::StoreMode),
     /// One instance's way to the store, or that of all.
-    StoreWay(Option<usize>, Way),
+    StoreLink(Option<usize>, ProxyMode),
     /// The way to a target.
-    TargetWay(usize, Way),
+    TargetLink(usize, ProxyMode),
     /// A target answers like this.
-    Target(usize, target::TargetMode),
+    TargetMode(usize, target::TargetMode),
     /// A target ends and starts again.
-    Crash(usize),
+    CrashTarget(usize),
     /// A target leaves, and another run of it comes.
-    Leave(usize),
+    DrainTarget(usize),
     /// An instance is paused.
-    Pause(usize),
+    PauseInstance(usize),
     /// An instance is killed and starts again.
-    Kill(usize),
+    KillInstance(usize),
     /// All instances are killed at once and start again.
-    KillAll,
+    KillAllInstances,
     /// An instance is stopped in order and starts again.
-    Stop(usize),
+    StopInstance(usize),
     /// An instance reads its settings again.
-    Reload(usize),
+    ReloadSettings(usize),
     /// Lookups go to the other service.
-    Config,
+    SwitchConfig,
     /// A data centre is withdrawn and restored.
-    Withdraw(usize),
+    WithdrawDataCentre(usize),
 }
 
 /// Draws a fault and the time that it lasts.
-pub fn draw(random: &mut StdRng, instances: usize, targets: usize) -> (Fault, Duration) {
+pub fn draw_fault(random: &mut StdRng, instances: usize, targets: usize) -> (Fault, Duration) {
     let time = Duration::from_millis(random.random_range(300..4000));
     let short = Duration::from_millis(random.random_range(200..2500));
     let (instance, target) = (
@@ -87,11 +87,11 @@
         random.random_range(0..targets),
     );
     let way = [
-        Way::Delayed(Duration::from_millis(random.random_range(20..400))),
-        Way::Reset,
-        Way::Deaf,
-        Way::Mute,
-        Way::Silent,
+        ProxyMode::Delay(Duration::from_millis(random.random_range(20..400))),
+        ProxyMode::Reset,
+        ProxyMode::DropFromClient,
+        ProxyMode::DropToClient,
+        ProxyMode::Blackhole,
     ][random.random_range(0..5)];
     let whose = random.random_bool(0.6).then_some(instance);
     let mood = [
@@ -107,62 +107,68 @@
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
-        0 => Fault::Store(mood),
-        1 | 2 => Fault::StoreWay(whose, way),
-        3 | 4 => Fault::TargetWay(target, way),
-        5 => Fault::Target(target, manner),
-        6 => Fault::Crash(target),
-        7 => Fault::Leave(target),
-        8 => Fault::Pause(instance),
-        9 => Fault::Kill(instance),
-        10 => Fault::Stop(instance),
-        11 if random.random_bool(0.3) => Fault::KillAll,
-        11 => Fault::Reload(instance),
-        12 => Fault::Config,
-        _ => Fault::Withdraw(random.random_range(0..DATA_CENTRES.len())),
+        0 => Fault::StoreMode(mood),
+        1 | 2 => Fault::StoreLink(whose, way),
+        3 | 4 => Fault::TargetLink(target, way),
+        5 => Fault::TargetMode(target, manner),
+        6 => Fault::CrashTarget(target),
+        7 => Fault::DrainTarget(target),
+        8 => Fault::PauseInstance(instance),
+        9 => Fault::KillInstance(instance),
+        10 => Fault::StopInstance(instance),
+        11 if random.random_bool(0.3) => Fault::KillAllInstances,
+        11 => Fault::ReloadSettings(instance),
+        12 => Fault::SwitchConfig,
+        _ => Fault::WithdrawDataCentre(random.random_range(0..DATA_CENTRES.len())),
     };
     (fault, time)
 }
 
 /// Does a fault for a time, then undoes it.
-pub async fn strike(world: Arc<World>, fault: Fault, time: Duration) {
+pub async fn inject_fault(world: Arc<Deployment>, fault: Fault, time: Duration) {
     match fault {
-        Fault::Store(mood) => {
-            let place = world.history.begin(What::Store);
+        Fault::StoreMode(mood) => {
+            let place = world.history.begin_event(EventKind::StoreFault);
             world.store.set_mode(mood);
             sleep(time).await;
             world.store.set_mode(store::StoreMode::Normal);
-            world.history.end(place);
+            world.history.end_event(place);
         }
-        Fault::StoreWay(whose, way) => store_way(&world, whose, way, time).await,
-        Fault::TargetWay(at, way) => {
-            let place = world.places[at].lock().await;
-            let noted = world.history.begin(What::Target(place.id.clone()));
-            place.proxy.set(way);
+        Fault::StoreLink(whose, way) => store_way(&world, whose, way, time).await,
+        Fault::TargetLink(at, way) => {
+            let place = world.targets[at].lock().await;
+            let noted = world
+                .history
+                .begin_event(EventKind::TargetFault(place.id.clone()));
+            place.proxy.set_mode(way);
             sleep(time).await;
-            place.proxy.set(Way::Open);
-            world.history.end(noted);
+            place.proxy.set_mode(ProxyMode::Forward);
+            world.history.end_event(noted);
         }
-        Fault::Target(at, mood) => {
-            let place = world.places[at].lock().await;
-            let noted = world.history.begin(What::Target(place.id.clone()));
-            place.set_mood(mood);
+        Fault::TargetMode(at, mood) => {
+            let place = world.targets[at].lock().await;
+            let noted = world
+                .history
+                .begin_event(EventKind::TargetFault(place.id.clone()));
+            place.set_mode(mood);
             sleep(time).await;
-            place.set_mood(target::TargetMode::Normal);
-            world.history.end(noted);
+            place.set_mode(target::TargetMode::Normal);
+            world.history.end_event(noted);
         }
-        Fault::Crash(at) => crash(&world, at, time).await,
-        Fault::Leave(at) => leave(&world, at, time).await,
-        Fault::Pause(at) => {
+        Fault::CrashTarget(at) => crash(&world, at, time).await,
+        Fault::DrainTarget(at) => leave(&world, at, time).await,
+        Fault::PauseInstance(at) => {
             let mut instance = world.instances[at].lock().await;
-            let noted = world.history.begin(What::Pause(instance.name.clone()));
+            let noted = world
+                .history
+                .begin_event(EventKind::InstancePause(instance.name.clone()));
             instance.signal(Signal::SIGSTOP);
             sleep(time).await;
             instance.signal(Signal::SIGCONT);
-            world.history.end(noted);
+            world.history.end_event(noted);
         }
-        Fault::Kill(at) => kill(&world, at, time).await,
-        Fault::KillAll => {
+        Fault::KillInstance(at) => kill(&world, at, time).await,
+        Fault::KillAllInstances => {
             let kills = (0..world.instances.len()).map(|at| {
                 let world = world.clone();
                 tokio::spawn(async move { kill(&world, at, time / 4).await })
@@ -172,105 +178,123 @@
                 let _ = kill.await;
             }
         }
-        Fault::Stop(at) => stop(&world, at).await,
-        Fault::Reload(at) => {
+        Fault::StopInstance(at) => stop(&world, at).await,
+        Fault::ReloadSettings(at) => {
             let mut instance = world.instances[at].lock().await;
-            instance.awaits_signals().await;
+            instance.wait_for_signal_handlers().await;
             instance.signal(Signal::SIGHUP);
         }
-        Fault::Config => configure(&world).await,
-        Fault::Withdraw(at) => {
-            let _one = world.withdrawing[at].lock().await;
+        Fault::SwitchConfig => switch_lookup_service(&world).await,
+        Fault::WithdrawDataCentre(at) => {
+            let _one = world.withdrawal_locks[at].lock().await;
             let noted = world
                 .history
-                .begin(What::Withdrawn(DATA_CENTRES[at].into()));
+                .begin_event(EventKind::Withdrawal(DATA_CENTRES[at].into()));
             let key = format!("evacuate/{}", DATA_CENTRES[at]);
             world.store.put("op", &key, b"{}");
             sleep(2 * time + Duration::from_secs(4)).await;
-            world.history.end(noted);
+            world.history.end_event(noted);
             world.store.remove("op", &key);
         }
     }
 }
 
-async fn store_way(world: &World, whose: Option<usize>, way: Way, time: Duration) {
-    let noted = world.history.begin(What::Store);
+async fn store_way(world: &Deployment, whose: Option<usize>, way: ProxyMode, time: Duration) {
+    let noted = world.history.begin_event(EventKind::StoreFault);
     let all = 0..world.instances.len();
     let chosen = all.filter(|at| whose.is_none_or(|one| one == *at));
     let chosen: Vec<usize> = chosen.collect();
     for at in &chosen {
-        world.instances[*at].lock().await.store.set(way);
+        world.instances[*at].lock().await.store_proxy.set_mode(way);
     }
     sleep(time).await;
     for at in &chosen {
-        world.instances[*at].lock().await.store.set(Way::Open);
+        world.instances[*at]
+            .lock()
+            .await
+            .store_proxy
+            .set_mode(ProxyMode::Forward);
     }
-    world.history.end(noted);
+    world.history.end_event(noted);
 }
 
-async fn crash(world: &World, at: usize, time: Duration) {
-    let mut place = world.places[at].lock().await;
-    let noted = world.history.begin(What::Target(place.id.clone()));
+async fn crash(world: &Deployment, at: usize, time: Duration) {
+    let mut place = world.targets[at].lock().await;
+    let noted = world
+        .history
+        .begin_event(EventKind::TargetFault(place.id.clone()));
     place.crash();
     if time > LAPSE {
         sleep(LAPSE).await;
-        place.lapse(&world.store);
+        place.remove_report(&world.store);
     }
     sleep(time).await;
     come_back(world, &mut place).await;
-    world.history.end(noted);
+    world.history.end_event(noted);
 }
 
-async fn leave(world: &World, at: usize, time: Duration) {
-    let mut place = world.places[at].lock().await;
-    let noted = world.history.begin(What::Leave(place.id.clone()));
-    place.leave(&world.store);
+async fn leave(world: &Deployment, at: usize, time: Duration) {
+    let mut place = world.targets[at].lock().await;
+    let noted = world
+        .history
+        .begin_event(EventKind::TargetDrain(place.id.clone()));
+    place.report_draining(&world.store);
     sleep(DRAIN).await;
-    world.history.end(noted);
-    let gone = world.history.begin(What::Target(place.id.clone()));
+    world.history.end_event(noted);
+    let gone = world
+        .history
+        .begin_event(EventKind::TargetFault(place.id.clone()));
     place.crash();
-    place.lapse(&world.store);
+    place.remove_report(&world.store);
     sleep(time).await;
     come_back(world, &mut place).await;
-    world.history.end(gone);
+    world.history.end_event(gone);
 }
 
 /// Starts a target anew, which is cold then.
-async fn come_back(world: &World, place: &mut Place) {
-    let noted = world.history.begin(What::Cold(place.id.clone()));
-    place.come_back(&world.store).await;
-    world.history.end(noted);
+async fn come_back(world: &Deployment, place: &mut ProxiedTarget) {
+    let noted = world
+        .history
+        .begin_event(EventKind::ColdStart(place.id.clone()));
+    place.restore(&world.store).await;
+    world.history.end_event(noted);
 }
 
-async fn kill(world: &World, at: usize, time: Duration) {
+async fn kill(world: &Deployment, at: usize, time: Duration) {
     let mut instance = world.instances[at].lock().await;
-    let noted = world.history.begin(What::Kill(instance.name.clone()));
+    let noted = world
+        .history
+        .begin_event(EventKind::InstanceKill(instance.name.clone()));
     instance.signal(Signal::SIGKILL);
     instance.wait();
     sleep(time).await;
     start(&mut instance);
-    world.history.end(noted);
+    world.history.end_event(noted);
 }
 
-async fn stop(world: &World, at: usize) {
+async fn stop(world: &Deployment, at: usize) {
     let mut instance = world.instances[at].lock().await;
-    instance.awaits_signals().await;
-    let noted = world.history.begin(What::Stop(instance.name.clone()));
+    instance.wait_for_signal_handlers().await;
+    let noted = world
+        .history
+        .begin_event(EventKind::InstanceStop(instance.name.clone()));
     instance.signal(Signal::SIGTERM);
     let gone = async {
-        while instance.runs() {
+        while instance.is_running() {
             sleep(LOOK).await;
         }
     };
     if timeout(STOPPED, gone).await.is_err() {
-        let late = world.history.begin(What::Kill(instance.name.clone()));
+        let late = world
+            .history
+            .begin_event(EventKind::InstanceKill(instance.name.clone()));
         eprintln!("{} did not end in time", instance.name);
         instance.signal(Signal::SIGKILL);
-        world.history.end(late);
+        world.history.end_event(late);
     }
     instance.wait();
     start(&mut instance);
-    world.history.end(noted);
+    world.history.end_event(noted);
 }
 
 fn start(instance: &mut Instance) {
@@ -280,15 +304,17 @@
 }
 
 /// Sends lookups to the other service.
-pub async fn configure(world: &World) {
+pub async fn switch_lookup_service(world: &Deployment) {
     let mut state = world.config.lock().await;
     let (version, former) = *state;
     let service = if version % 2 == 0 { "boards" } else { "crews" };
     if let Some(former) = former {
-        world.history.end(former);
+        world.history.end_event(former);
     }
     let text = build_config(&format!("r{}", 7 * version + 1), service);
     world.store.put("op", "config", text.as_bytes());
-    let noted = world.history.begin(What::Lookups(service.into()));
+    let noted = world
+        .history
+        .begin_event(EventKind::LookupService(service.into()));
     *state = (version + 1, Some(noted));
 }
--- a/soak/src/promises.rs
+++ b/soak/src/guarantees.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        fleet::COLD,
-        history::{End, Event, Kind, Record, What},
+        history::{Event, EventKind, HistoryData, RequestKind, RequestOutcome},
+        targets::COLD_TIME,
     },
     cowslip_adapter_standins::observer::Arrival,
     std::{
@@ -30,7 +30,7 @@
 const AFTER: Duration = Duration::from_millis(3000);
 
 /// Returns the promises that were broken, each with what shows it.
-pub fn broken(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
+pub fn find_violations(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
     for arrival in arrivals.iter().filter(|it| it.was_executed) {
         *runs.entry(&arrival.request_id).or_default() += 1;
@@ -45,26 +45,33 @@
 }
 
 /// Each request: run at most once if it may not be repeated, refused truly, answered with its own.
-fn requests(record: &Record, runs: &BTreeMap<&str, u32>, reached: &BTreeSet<&str>) -> Vec<String> {
+fn requests(
+    record: &HistoryData,
+    runs: &BTreeMap<&str, u32>,
+    reached: &BTreeSet<&str>,
+) -> Vec<String> {
     let mut found = Vec::new();
-    for sent in &record.sent {
+    for sent in &record.requests {
         let ran = runs.get(sent.id.as_str()).copied().unwrap_or_default();
-        let took = (sent.until - sent.at).as_millis();
+        let took = (sent.ended_at - sent.sent_at).as_millis();
         let said = format!(
             "{} {:?} at {}: {:?} after {took} ms, ran {ran} times",
-            sent.id, sent.kind, sent.instance, sent.end
+            sent.id, sent.kind, sent.instance, sent.outcome
         );
-        if sent.kind != Kind::Lookup && ran > 1 {
+        if sent.kind != RequestKind::Lookup && ran > 1 {
             found.push(format!("TWICE: {said}"));
         }
-        match sent.end {
-            End::Answer(400..=499 | 503, _) if ran > 0 => {
+        match sent.outcome {
+            RequestOutcome::Response(400..=499 | 503, _) if ran > 0 => {
                 found.push(format!("REFUSED: {said}"));
             }
-            End::Answer(200, false) => found.push(format!("MIXED: {said}")),
-            End::Cut if !harmed(record, &sent.instance, sent.at, sent.until) => {
+            RequestOutcome::Response(200, false) => found.push(format!("MIXED: {said}")),
+            RequestOutcome::ConnectionClosed
+                if !harmed(record, &sent.instance, sent.sent_at, sent.ended_at) =>
+            {
                 // One that only crosses the close of its connection has not been read.
-                let read = sent.until - sent.at > LOSS || reached.contains(sent.id.as_str());
+                let read =
+                    sent.ended_at - sent.sent_at > LOSS || reached.contains(sent.id.as_str());
                 found.extend(read.then(|| format!("LOST: {said}")));
             }
             _ => {}
@@ -74,17 +81,17 @@
 }
 
 /// Returns whether an instance was killed or paused between two moments.
-fn harmed(record: &Record, instance: &str, from: Instant, until: Instant) -> bool {
+fn harmed(record: &HistoryData, instance: &str, from: Instant, until: Instant) -> bool {
     record.events.iter().any(|event| {
-        let own = matches!(&event.what, What::Kill(it) | What::Pause(it) if it == instance);
+        let own = matches!(&event.kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
         own && overlaps(event, from, until)
     })
 }
 
 /// A leaving target gets nothing new.
-fn leaving(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
-    let late = record.events.iter().filter_map(|event| match &event.what {
-        What::Leave(target) => {
+fn leaving(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let late = record.events.iter().filter_map(|event| match &event.kind {
+        EventKind::TargetDrain(target) => {
             let (late, after) = late(record, arrivals, event, DRAIN, |it| it.target_id == *target)?;
             let request = &late.request_id;
             Some(format!("DRAIN: {request} at {target} after {after} ms"))
@@ -95,9 +102,9 @@
 }
 
 /// A withdrawn data centre gets nothing.
-fn withdrawn(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
-    let late = record.events.iter().filter_map(|event| match &event.what {
-        What::Withdrawn(place) => {
+fn withdrawn(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let late = record.events.iter().filter_map(|event| match &event.kind {
+        EventKind::Withdrawal(place) => {
             let inside = |it: &Arrival| it.data_centre == *place;
             let (late, after) = late(record, arrivals, event, WITHDRAWAL, inside)?;
             let request = &late.request_id;
@@ -111,23 +118,23 @@
 /// Returns the first request that ran too late after the beginning of an event and before its end,
 /// and the milliseconds since, unless something else was harmed meanwhile.
 fn late<'a>(
-    record: &Record,
+    record: &HistoryData,
     arrivals: &'a [Arrival],
     event: &Event,
     limit: Duration,
     concerned: impl Fn(&Arrival) -> bool,
 ) -> Option<(&'a Arrival, u128)> {
-    let due = event.from + limit + SLACK;
+    let due = event.started_at + limit + SLACK;
     let late = arrivals.iter().find(|it| {
-        let inside = it.arrived_at > due && event.until.is_none_or(|end| it.arrived_at < end);
+        let inside = it.arrived_at > due && event.ended_at.is_none_or(|end| it.arrived_at < end);
         concerned(it) && it.was_executed && inside
     })?;
-    let calm = is_calm(record, event.from, late.arrived_at);
-    calm.then(|| (late, (late.arrived_at - event.from).as_millis()))
+    let calm = is_calm(record, event.started_at, late.arrived_at);
+    calm.then(|| (late, (late.arrived_at - event.started_at).as_millis()))
 }
 
 /// A configuration is in force everywhere within its time, and never goes back.
-fn configured(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
+fn configured(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
     let mut found = Vec::new();
     let at: BTreeMap<&str, &Arrival> = arrivals
         .iter()
@@ -135,16 +142,20 @@
         .map(|it| (it.request_id.as_str(), it))
         .collect();
     for event in &record.events {
-        let What::Lookups(service) = &event.what else {
+        let EventKind::LookupService(service) = &event.kind else {
             continue;
         };
-        for sent in record.sent.iter().filter(|it| it.kind == Kind::Lookup) {
-            let inside = sent.at > event.from + APPLY + SLACK
-                && event.until.is_none_or(|until| sent.until < until);
+        for sent in record
+            .requests
+            .iter()
+            .filter(|it| it.kind == RequestKind::Lookup)
+        {
+            let inside = sent.sent_at > event.started_at + APPLY + SLACK
+                && event.ended_at.is_none_or(|until| sent.ended_at < until);
             let Some(arrival) = at.get(sent.id.as_str()).filter(|_| inside) else {
                 continue;
             };
-            if arrival.service != *service && is_calm(record, event.from, sent.at) {
+            if arrival.service != *service && is_calm(record, event.started_at, sent.sent_at) {
                 found.push(format!("CONFIG: {} went to {}", sent.id, arrival.service));
                 break;
             }
@@ -154,16 +165,16 @@
 }
 
 /// A cold target gets few requests, whatever else happens.
-fn overheated(record: &Record, arrivals: &[Arrival]) -> Vec<String> {
-    let colds = record.events.iter().filter_map(|event| match &event.what {
-        What::Cold(target) => Some((target, event.from)),
+fn overheated(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let colds = record.events.iter().filter_map(|event| match &event.kind {
+        EventKind::ColdStart(target) => Some((target, event.started_at)),
         _ => None,
     });
     let found = colds.filter_map(|(target, from)| {
         let own = arrivals
             .iter()
             .filter(|it| it.was_executed && it.target_id == *target);
-        let inside = own.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD);
+        let inside = own.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD_TIME);
         let mut times: Vec<Instant> = inside.map(|it| it.arrived_at).collect();
         times.sort_unstable();
         let mut spans = times.windows(MOST_COLD + 1);
@@ -174,16 +185,19 @@
 }
 
 /// Returns whether neither the store nor an instance was harmed about a span of time.
-fn is_calm(record: &Record, from: Instant, until: Instant) -> bool {
+fn is_calm(record: &HistoryData, from: Instant, until: Instant) -> bool {
     !record.events.iter().any(|event| {
         let harm = matches!(
-            event.what,
-            What::Store | What::Pause(_) | What::Kill(_) | What::Stop(_)
+            event.kind,
+            EventKind::StoreFault
+                | EventKind::InstancePause(_)
+                | EventKind::InstanceKill(_)
+                | EventKind::InstanceStop(_)
         );
         harm && overlaps(event, from - AFTER, until)
     })
 }
 
 fn overlaps(event: &Event, from: Instant, until: Instant) -> bool {
-    event.from <= until && event.until.is_none_or(|end| end >= from)
+    event.started_at <= until && event.ended_at.is_none_or(|end| end >= from)
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -5,122 +5,122 @@
     tokio::time::Instant,
 };
 
-/// Kind of a request.
+/// RequestKind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RequestKind {
     /// Repeatable, to a service that configurations change.
     Lookup,
     /// Not repeatable, to the divided service.
-    Order,
+    Removal,
     /// Not repeatable, to the undivided service.
     Booking,
 }
 
 /// What a caller got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// An answer: its status, and whether its body is that of the request.
-    Answer(u16, bool),
+    Response(u16, bool),
     /// The connection ended without a whole answer.
-    Cut,
+    ConnectionClosed,
     /// The caller gave up.
-    Silence,
+    TimedOut,
 }
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct RequestRecord {
     /// Id.
     pub id: String,
-    /// Kind.
-    pub kind: Kind,
+    /// RequestKind.
+    pub kind: RequestKind,
     /// Instance that it was sent to.
     pub instance: String,
     /// When it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// When it ended.
-    pub until: Instant,
+    pub ended_at: Instant,
     /// How it ended.
-    pub end: End,
+    pub outcome: RequestOutcome,
 }
 
 /// What an event is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum EventKind {
     /// The store, or the way to it, is harmed.
-    Store,
+    StoreFault,
     /// A target, or the way to it, is harmed.
-    Target(String),
+    TargetFault(String),
     /// A target starts anew and is cold.
-    Cold(String),
+    ColdStart(String),
     /// An instance is paused.
-    Pause(String),
+    InstancePause(String),
     /// An instance is killed, until it serves again.
-    Kill(String),
+    InstanceKill(String),
     /// An instance is stopped in order, until it serves again.
-    Stop(String),
+    InstanceStop(String),
     /// A target reports that it leaves.
-    Leave(String),
+    TargetDrain(String),
     /// A data centre is withdrawn.
-    Withdrawn(String),
+    Withdrawal(String),
     /// A configuration sends lookups to this service.
-    Lookups(String),
+    LookupService(String),
 }
 
 /// Something that was done, from one moment to another.
 #[derive(Clone, Debug)]
 pub struct Event {
     /// What it is about.
-    pub what: What,
+    pub kind: EventKind,
     /// When it began.
-    pub from: Instant,
+    pub started_at: Instant,
     /// When it ended; `None` while it lasts.
-    pub until: Option<Instant>,
+    pub ended_at: Option<Instant>,
 }
 
 /// History of a run; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct History(Arc<Mutex<Record>>);
+pub struct History(Arc<Mutex<HistoryData>>);
 
 /// Everything that a history has.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
+pub struct HistoryData {
     /// Requests of callers.
-    pub sent: Vec<Sent>,
+    pub requests: Vec<RequestRecord>,
     /// What was done.
     pub events: Vec<Event>,
 }
 
 impl History {
     /// Takes a request that has ended.
-    pub fn sent(&self, sent: Sent) {
-        self.record().sent.push(sent);
+    pub fn add_request(&self, request: RequestRecord) {
+        self.record().requests.push(request);
     }
 
     /// Notes that something begins; returns its place.
-    pub fn begin(&self, what: What) -> usize {
+    pub fn begin_event(&self, kind: EventKind) -> usize {
         let mut record = self.record();
         record.events.push(Event {
-            what,
-            from: Instant::now(),
-            until: None,
+            kind,
+            started_at: Instant::now(),
+            ended_at: None,
         });
         record.events.len() - 1
     }
 
     /// Notes the end of what began.
-    pub fn end(&self, place: usize) {
+    pub fn end_event(&self, place: usize) {
         if let Some(event) = self.record().events.get_mut(place) {
-            event.until = Some(Instant::now());
+            event.ended_at = Some(Instant::now());
         }
     }
 
     /// Returns everything so far.
-    pub fn all(&self) -> Record {
+    pub fn snapshot(&self) -> HistoryData {
         self.record().clone()
     }
 
-    fn record(&self) -> MutexGuard<'_, Record> {
+    fn record(&self) -> MutexGuard<'_, HistoryData> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -26,11 +26,11 @@
     /// Name.
     pub name: String,
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address for the readiness question.
-    pub readiness: SocketAddr,
-    /// Way to the store.
-    pub store: Proxy,
+    pub readiness_address: SocketAddr,
+    /// ProxyMode to the store.
+    pub store_proxy: Proxy,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -70,9 +70,9 @@
         fs::write(&settings, text)?;
         let mut instance = Self {
             name: name.into(),
-            callers,
-            readiness,
-            store,
+            caller_address: callers,
+            readiness_address: readiness,
+            store_proxy: store,
             program: program.into(),
             settings,
             log: files.join(format!("{name}.log")),
@@ -88,7 +88,7 @@
     /// # Errors
     /// Fails if the program does not start.
     pub fn spawn(&mut self) -> Result<()> {
-        if self.runs() {
+        if self.is_running() {
             return Ok(());
         }
         let log = File::options().create(true).append(true).open(&self.log)?;
@@ -104,13 +104,13 @@
     }
 
     /// Waits until the process awaits signals; before that, most of them end any process.
-    pub async fn awaits_signals(&self) {
+    pub async fn wait_for_signal_handlers(&self) {
         sleep_until(self.since + AWAKE).await;
     }
 
     /// Sends a signal to the process, if it runs.
     pub fn signal(&mut self, signal: Signal) {
-        if self.runs()
+        if self.is_running()
             && let Some(child) = &self.child
         {
             // It may end at this moment.
@@ -119,7 +119,7 @@
     }
 
     /// Returns whether the process runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -3,12 +3,12 @@
 
 pub mod callers;
 pub mod faults;
-pub mod fleet;
+pub mod guarantees;
 pub mod history;
 pub mod instance;
-pub mod promises;
 pub mod proxy;
 pub mod run;
+pub mod targets;
 
 /// Result of what may fail for want of means: files, ports, processes.
 pub type Result<T> = eyre::Result<T>;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -4,7 +4,7 @@
     clap::{Arg, Command, value_parser},
     cowslip_soak::{
         Result,
-        run::{self, Options, Report},
+        run::{self, RunOptions, RunReport},
     },
     std::{fs, path::PathBuf, process::ExitCode, time::Duration},
 };
@@ -21,7 +21,7 @@
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let program = match matches.get_one::<PathBuf>("program") {
         Some(program) => program.clone(),
-        None => run::program()?,
+        None => run::find_program()?,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -29,21 +29,21 @@
         .build()?;
     let mut code = ExitCode::SUCCESS;
     for seed in number("seed")..number("seed") + number("seeds") {
-        let options = Options {
-            program: program.clone(),
-            files: run::files(seed),
+        let options = RunOptions {
+            program_path: program.clone(),
+            work_directory: run::work_directory(seed),
             seed,
-            time: Duration::from_secs(number("seconds")),
-            instances: number("instances") as usize,
+            fault_time: Duration::from_secs(number("seconds")),
+            instance_count: number("instances") as usize,
         };
-        match runtime.block_on(run::run(&options)) {
-            Ok(report) if report.broken.is_empty() => {
+        match runtime.block_on(run::run_deployment(&options)) {
+            Ok(report) if report.violations.is_empty() => {
                 say(seed, &report);
-                fs::remove_dir_all(&options.files)?;
+                fs::remove_dir_all(&options.work_directory)?;
             }
             Ok(report) => {
                 say(seed, &report);
-                println!("  logs in {}", options.files.display());
+                println!("  logs in {}", options.work_directory.display());
                 code = ExitCode::FAILURE;
             }
             Err(error) => {
@@ -55,18 +55,18 @@
     Ok(code)
 }
 
-fn say(seed: u64, report: &Report) {
+fn say(seed: u64, report: &RunReport) {
     let ends: Vec<String> = report
-        .ends
+        .outcomes
         .iter()
         .map(|(end, count)| format!("{end} {count}"))
         .collect();
-    let (faults, broken) = (report.faults.len(), report.broken.len());
+    let (faults, broken) = (report.faults.len(), report.violations.len());
     println!(
         "seed {seed}: {broken} broken, {faults} faults, {}",
         ends.join(", ")
     );
-    for line in &report.broken {
+    for line in &report.violations {
         println!("  {line}");
     }
     if broken > 0 {
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -25,20 +25,20 @@
 
 /// What becomes of connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum ProxyMode {
     /// Bytes pass.
     #[default]
-    Open,
+    Forward,
     /// Bytes pass after this time.
-    Delayed(Duration),
+    Delay(Duration),
     /// Connections are reset.
     Reset,
     /// Bytes from the client are lost.
-    Deaf,
+    DropFromClient,
     /// Bytes to the client are lost.
-    Mute,
+    DropToClient,
     /// All bytes are lost, and connections that are open now stay silent for good.
-    Silent,
+    Blackhole,
 }
 
 /// A proxy; it ends when this is dropped.
@@ -47,14 +47,14 @@
     /// Address that it listens on.
     pub address: SocketAddr,
     upstream: Arc<Mutex<Option<SocketAddr>>>,
-    way: watch::Sender<Way>,
+    way: watch::Sender<ProxyMode>,
     task: JoinHandle<()>,
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.way.send_replace(Way::Reset);
+        self.way.send_replace(ProxyMode::Reset);
     }
 }
 
@@ -67,7 +67,7 @@
         let listener = TcpListener::bind(ports::allocate_address()).await?;
         let address = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
-        let (way, seen) = watch::channel(Way::Open);
+        let (way, seen) = watch::channel(ProxyMode::Forward);
         let to = upstream.clone();
         let task = tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
@@ -84,19 +84,19 @@
     }
 
     /// Sets what becomes of connections from now on.
-    pub fn set(&self, way: Way) {
+    pub fn set_mode(&self, way: ProxyMode) {
         self.way.send_replace(way);
     }
 
     /// Sets where new connections go; `None` resets them.
-    pub fn lead_to(&self, upstream: Option<SocketAddr>) {
+    pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
         *self.upstream.lock().unwrap_or_else(PoisonError::into_inner) = upstream;
     }
 }
 
-async fn connection(client: TcpStream, to: Option<SocketAddr>, way: watch::Receiver<Way>) {
+async fn connection(client: TcpStream, to: Option<SocketAddr>, way: watch::Receiver<ProxyMode>) {
     let server = match to {
-        Some(to) if *way.borrow() != Way::Reset => TcpStream::connect(to).await.ok(),
+        Some(to) if *way.borrow() != ProxyMode::Reset => TcpStream::connect(to).await.ok(),
         _ => None,
     };
     // Without lingering, the end of a connection is a reset.
@@ -106,8 +106,13 @@
     };
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let up = pump(from_client, to_server, way.clone(), Way::Deaf);
-    let down = pump(from_server, to_client, way, Way::Mute);
+    let up = pump(
+        from_client,
+        to_server,
+        way.clone(),
+        ProxyMode::DropFromClient,
+    );
+    let down = pump(from_server, to_client, way, ProxyMode::DropToClient);
     tokio::select! {
         () = up => {}
         () = down => {}
@@ -118,15 +123,15 @@
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: watch::Receiver<Way>,
-    lost: Way,
+    mut way: watch::Receiver<ProxyMode>,
+    lost: ProxyMode,
 ) {
     let mut buffer = vec![0; BUFFER];
     let mut silent = false;
     loop {
         let now = *way.borrow_and_update();
-        silent |= now == Way::Silent;
-        if now == Way::Reset {
+        silent |= now == ProxyMode::Blackhole;
+        if now == ProxyMode::Reset {
             return;
         }
         let read = tokio::select! {
@@ -140,8 +145,8 @@
             return;
         };
         let now = *way.borrow();
-        silent |= now == Way::Silent;
-        if let Way::Delayed(time) = now {
+        silent |= now == ProxyMode::Blackhole;
+        if let ProxyMode::Delay(time) = now {
             tokio::time::sleep(time).await;
         }
         if silent || now == lost {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         Result,
-        callers::{self, Doors},
-        faults::{Fault, World, configure, draw, strike},
-        fleet::{DATA_CENTRES, Place, REFRESH},
-        history::{End, History, Record},
+        callers::{self, InstanceAddresses},
+        faults::{Deployment, Fault, draw_fault, inject_fault, switch_lookup_service},
+        guarantees,
+        history::{History, HistoryData, RequestOutcome},
         instance::Instance,
-        promises,
+        targets::{DATA_CENTRES, ProxiedTarget, REPORT_INTERVAL},
     },
     cowslip_adapter_standins::{observer::TargetObserver, store::FakeStore},
     eyre::bail,
@@ -43,26 +43,26 @@
 
 /// What a run is like.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct RunOptions {
     /// Program of an instance.
-    pub program: PathBuf,
+    pub program_path: PathBuf,
     /// Directory for settings and logs.
-    pub files: PathBuf,
+    pub work_directory: PathBuf,
     /// Seed of callers and faults.
     pub seed: u64,
     /// Time for which faults come.
-    pub time: Duration,
+    pub fault_time: Duration,
     /// Number of instances.
-    pub instances: usize,
+    pub instance_count: usize,
 }
 
 /// What a run came to.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct RunReport {
     /// Promises that were broken, each with what shows it.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of requests by what callers got.
-    pub ends: BTreeMap<String, usize>,
+    pub outcomes: BTreeMap<String, usize>,
     /// Faults in their order.
     pub faults: Vec<Fault>,
 }
@@ -71,59 +71,62 @@
 ///
 /// # Errors
 /// Fails if processes, ports or files cannot be had, or the deployment does not begin to serve.
-pub async fn run(options: &Options) -> Result<Report> {
+pub async fn run_deployment(options: &RunOptions) -> Result<RunReport> {
     let watch = Arc::new(TargetObserver::default());
     let world = Arc::new(begin(options, &watch).await?);
     let mut calls = JoinSet::new();
     let doors = doors(&world).await;
     for number in 0..CALLERS {
         let (doors, history) = (doors.clone(), world.history.clone());
-        calls.spawn(callers::call(number, options.seed, doors, history));
+        calls.spawn(callers::run_caller(number, options.seed, doors, history));
     }
     calls.spawn(refresh(world.clone()));
     let faults = harm(options, &world).await;
     let ended = ended(&world).await;
     let unserved = recover(&doors).await;
     calls.abort_all();
-    let record = world.history.all();
+    let record = world.history.snapshot();
     let mut broken = watch.violations();
-    broken.extend(promises::broken(&record, &watch.arrivals()));
+    broken.extend(guarantees::find_violations(&record, &watch.arrivals()));
     broken.extend(ended);
     broken.extend(unserved);
-    Ok(Report {
-        broken,
-        ends: ends(&record),
+    Ok(RunReport {
+        violations: broken,
+        outcomes: ends(&record),
         faults,
     })
 }
 
-async fn begin(options: &Options, watch: &Arc<TargetObserver>) -> Result<World> {
-    std::fs::create_dir_all(&options.files)?;
+async fn begin(options: &RunOptions, watch: &Arc<TargetObserver>) -> Result<Deployment> {
+    std::fs::create_dir_all(&options.work_directory)?;
     let store = FakeStore::start().await;
     let mut places = Vec::new();
     for (service, count) in TARGETS {
         for number in 0..count {
-            let place = Place::start(number, service, &store, watch).await?;
+            let place = ProxiedTarget::start(number, service, &store, watch).await?;
             places.push(Mutex::new(place));
         }
     }
     let mut instances = Vec::new();
-    for number in 0..options.instances {
+    for number in 0..options.instance_count {
         let data_centre = DATA_CENTRES[number % DATA_CENTRES.len()];
         let (name, to) = (format!("i{number}"), store.address());
-        let files = (options.program.as_path(), options.files.as_path());
+        let files = (
+            options.program_path.as_path(),
+            options.work_directory.as_path(),
+        );
         let instance = Instance::start(files.0, files.1, &name, data_centre, to).await?;
         instances.push(Mutex::new(instance));
     }
-    let world = World {
+    let world = Deployment {
         store,
-        places,
+        targets: places,
         instances,
         history: History::default(),
-        withdrawing: Default::default(),
+        withdrawal_locks: Default::default(),
         config: Mutex::default(),
     };
-    configure(&world).await;
+    switch_lookup_service(&world).await;
     let doors = doors(&world).await;
     if let Some(unserved) = served(&doors, READY, "start").await {
         bail!("the deployment does not begin to serve: {unserved}");
@@ -131,38 +134,38 @@
     Ok(world)
 }
 
-async fn doors(world: &World) -> Doors {
+async fn doors(world: &Deployment) -> InstanceAddresses {
     let mut doors = Vec::new();
     for instance in &world.instances {
         let instance = instance.lock().await;
-        doors.push((instance.name.clone(), instance.callers));
+        doors.push((instance.name.clone(), instance.caller_address));
     }
     doors
 }
 
 /// Lets cold targets report for ever; one that a fault is being done to reports nothing.
-async fn refresh(world: Arc<World>) {
+async fn refresh(world: Arc<Deployment>) {
     loop {
-        sleep(REFRESH).await;
-        for place in &world.places {
+        sleep(REPORT_INTERVAL).await;
+        for place in &world.targets {
             if let Ok(place) = place.try_lock() {
-                place.refresh(&world.store);
+                place.report_if_cold(&world.store);
             }
         }
     }
 }
 
 /// Does faults for a time, and waits until the last one is undone.
-async fn harm(options: &Options, world: &Arc<World>) -> Vec<Fault> {
+async fn harm(options: &RunOptions, world: &Arc<Deployment>) -> Vec<Fault> {
     let mut random = StdRng::seed_from_u64(options.seed);
-    let end = Instant::now() + options.time;
+    let end = Instant::now() + options.fault_time;
     let (mut strikes, mut done) = (JoinSet::new(), Vec::new());
     while Instant::now() < end {
         let pause = random.random_range(BETWEEN.0..BETWEEN.1);
         sleep(Duration::from_millis(pause)).await;
-        let (fault, time) = draw(&mut random, options.instances, world.places.len());
+        let (fault, time) = draw_fault(&mut random, options.instance_count, world.targets.len());
         done.push(fault);
-        strikes.spawn(strike(world.clone(), fault, time));
+        strikes.spawn(inject_fault(world.clone(), fault, time));
     }
     while let Some(end) = strikes.join_next().await {
         if let Err(error) = end {
@@ -173,11 +176,11 @@
 }
 
 /// Returns the instances that have ended by themselves.
-async fn ended(world: &World) -> Vec<String> {
+async fn ended(world: &Deployment) -> Vec<String> {
     let mut ended = Vec::new();
     for instance in &world.instances {
         let mut instance = instance.lock().await;
-        if !instance.runs() {
+        if !instance.is_running() {
             let code = instance.wait();
             ended.push(format!("ENDED: {} with {code:?}", instance.name));
         }
@@ -186,13 +189,13 @@
 }
 
 /// Returns the promise that was broken if keys are not served in time after the faults.
-async fn recover(doors: &Doors) -> Option<String> {
+async fn recover(doors: &InstanceAddresses) -> Option<String> {
     let unserved = served(doors, RECOVERY, "end").await;
     unserved.map(|what| format!("RECOVER: {what}"))
 }
 
 /// Waits until every instance serves keys all over; returns what is not served in time.
-async fn served(doors: &Doors, limit: Duration, when: &str) -> Option<String> {
+async fn served(doors: &InstanceAddresses, limit: Duration, when: &str) -> Option<String> {
     let end = Instant::now() + limit;
     let mut waiting: Vec<(usize, u64)> = (0..doors.len())
         .flat_map(|door| (0..65_536u64).step_by(STRIDE).map(move |key| (door, key)))
@@ -203,8 +206,11 @@
             let address = doors[door].1;
             let id = format!("{when}-{round}-{door}-{key}");
             probes.spawn(async move {
-                let end = callers::probe(address, &id, key).await;
-                ((door, key), end == Some(End::Answer(200, true)))
+                let end = callers::send_probe(address, &id, key).await;
+                (
+                    (door, key),
+                    end == Some(RequestOutcome::Response(200, true)),
+                )
             });
         }
         let ends = probes.join_all().await;
@@ -222,13 +228,13 @@
     Some(format!("{} keys, {key} at {name} first", waiting.len()))
 }
 
-fn ends(record: &Record) -> BTreeMap<String, usize> {
+fn ends(record: &HistoryData) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
-    for sent in &record.sent {
-        let word = match sent.end {
-            End::Answer(status, _) => status.to_string(),
-            End::Cut => "cut".to_owned(),
-            End::Silence => "silence".to_owned(),
+    for sent in &record.requests {
+        let word = match sent.outcome {
+            RequestOutcome::Response(status, _) => status.to_string(),
+            RequestOutcome::ConnectionClosed => "cut".to_owned(),
+            RequestOutcome::TimedOut => "silence".to_owned(),
         };
         *ends.entry(word).or_default() += 1;
     }
@@ -239,7 +245,7 @@
 ///
 /// # Errors
 /// Fails if it is not there.
-pub fn program() -> Result<PathBuf> {
+pub fn find_program() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let places = own.ancestors().skip(1).take(2).map(Path::to_path_buf);
     let found = places
@@ -252,7 +258,7 @@
 }
 
 /// Returns the directory of a run's files.
-pub fn files(seed: u64) -> PathBuf {
+pub fn work_directory(seed: u64) -> PathBuf {
     let name = format!("cowslip-soak-{}-{seed}", std::process::id());
     std::env::temp_dir().join(name)
 }
--- a/soak/src/fleet.rs
+++ b/soak/src/targets.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         Result,
-        proxy::{Proxy, Way},
+        proxy::{Proxy, ProxyMode},
     },
     cowslip_adapter_standins::{
         observer::TargetObserver,
@@ -19,25 +19,25 @@
 /// Rates of the clocks that measure holds.
 const RATES: [f64; 3] = [1.0, 0.98, 1.01];
 /// Time for which a target that comes back is cold.
-pub const COLD: Duration = Duration::from_secs(3);
+pub const COLD_TIME: Duration = Duration::from_secs(3);
 /// Period of the reports of a cold target.
-pub const REFRESH: Duration = Duration::from_millis(400);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Data centres of targets.
 pub const DATA_CENTRES: [&str; 3] = ["west", "east", "north"];
 
 /// A target and the way to it.
 #[derive(Debug)]
-pub struct Place {
+pub struct ProxiedTarget {
     /// Id.
     pub id: String,
-    /// Way to it.
+    /// ProxyMode to it.
     pub proxy: Proxy,
     options: TargetOptions,
     target: Option<FakeTarget>,
     since: Instant,
 }
 
-impl Place {
+impl ProxiedTarget {
     /// Starts a target of a service.
     ///
     /// # Errors
@@ -68,18 +68,18 @@
             target: None,
             since: Instant::now(),
         };
-        place.come_back(store).await;
-        place.options.cold_time = COLD;
+        place.restore(store).await;
+        place.options.cold_time = COLD_TIME;
         Ok(place)
     }
 
     /// Starts the target anew, unless it runs.
-    pub async fn come_back(&mut self, store: &FakeStore) {
-        self.proxy.set(Way::Open);
+    pub async fn restore(&mut self, store: &FakeStore) {
+        self.proxy.set_mode(ProxyMode::Forward);
         if self.target.is_none() {
             self.options.incarnation += 1;
             let target = FakeTarget::start(self.options.clone()).await;
-            self.proxy.lead_to(Some(target.address()));
+            self.proxy.set_upstream(Some(target.address()));
             self.target = Some(target);
             self.since = Instant::now();
         }
@@ -90,8 +90,8 @@
     }
 
     /// Reports anew for how long the target stays cold, as targets do again and again.
-    pub fn refresh(&self, store: &FakeStore) {
-        let cold = self.since.elapsed() < self.options.cold_time + 2 * REFRESH;
+    pub fn report_if_cold(&self, store: &FakeStore) {
+        let cold = self.since.elapsed() < self.options.cold_time + 2 * REPORT_INTERVAL;
         if let Some(target) = self.target.as_ref().filter(|_| cold) {
             target.publish_report(store, "ready");
         }
@@ -99,25 +99,25 @@
 
     /// Ends the target at once; its report lapses later.
     pub fn crash(&mut self) {
-        self.proxy.lead_to(None);
-        self.proxy.set(Way::Reset);
+        self.proxy.set_upstream(None);
+        self.proxy.set_mode(ProxyMode::Reset);
         self.target = None;
     }
 
     /// Takes the target's report out of the store.
-    pub fn lapse(&self, store: &FakeStore) {
+    pub fn remove_report(&self, store: &FakeStore) {
         store.remove("servers", &self.id);
     }
 
     /// Lets the target report that it leaves.
-    pub fn leave(&self, store: &FakeStore) {
+    pub fn report_draining(&self, store: &FakeStore) {
         if let Some(target) = &self.target {
             target.publish_report(store, "draining");
         }
     }
 
     /// Sets how the target answers.
-    pub fn set_mood(&self, mood: TargetMode) {
+    pub fn set_mode(&self, mood: TargetMode) {
         if let Some(target) = &self.target {
             target.set_mode(mood);
         }
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -3,8 +3,8 @@
 use {
     cowslip_adapter_standins::observer::{Arrival, TargetObserver},
     cowslip_soak::{
-        history::{End, Event, Kind, Record, Sent, What},
-        promises::broken,
+        guarantees::find_violations,
+        history::{Event, EventKind, HistoryData, RequestKind, RequestOutcome, RequestRecord},
     },
     std::time::Duration,
     tokio::time::Instant,
@@ -14,14 +14,14 @@
     start + Duration::from_millis(millis)
 }
 
-fn sent(start: Instant, at: u64, kind: Kind, end: End) -> Sent {
-    Sent {
+fn sent(start: Instant, at: u64, kind: RequestKind, end: RequestOutcome) -> RequestRecord {
+    RequestRecord {
         id: "r1".into(),
         kind,
         instance: "i0".into(),
-        at: after(start, at),
-        until: after(start, at + 50),
-        end,
+        sent_at: after(start, at),
+        ended_at: after(start, at + 50),
+        outcome: end,
     }
 }
 
@@ -36,17 +36,23 @@
     }
 }
 
-fn event(start: Instant, from: u64, until: Option<u64>, what: What) -> Event {
+fn event(start: Instant, from: u64, until: Option<u64>, what: EventKind) -> Event {
     Event {
-        what,
-        from: after(start, from),
-        until: until.map(|it| after(start, it)),
+        kind: what,
+        started_at: after(start, from),
+        ended_at: until.map(|it| after(start, it)),
     }
 }
 
 /// Returns the names of the promises that are broken.
-fn found(sent: Vec<Sent>, events: Vec<Event>, arrivals: &[Arrival]) -> Vec<String> {
-    let lines = broken(&Record { sent, events }, arrivals);
+fn found(sent: Vec<RequestRecord>, events: Vec<Event>, arrivals: &[Arrival]) -> Vec<String> {
+    let lines = find_violations(
+        &HistoryData {
+            requests: sent,
+            events,
+        },
+        arrivals,
+    );
     let name = |line: String| line.split(':').next().unwrap_or_default().to_owned();
     lines.into_iter().map(name).collect()
 }
@@ -57,50 +63,96 @@
     let ran = [arrival(start, 10, true)];
     let twice = [arrival(start, 10, true), arrival(start, 20, true)];
     let one = |kind, end| vec![sent(start, 0, kind, end)];
-    let ok = End::Answer(200, true);
-    assert_eq!(found(one(Kind::Order, ok), vec![], &twice), ["TWICE"]);
-    assert!(found(one(Kind::Lookup, ok), vec![], &twice).is_empty());
-    let refused = End::Answer(503, false);
-    assert_eq!(found(one(Kind::Order, refused), vec![], &ran), ["REFUSED"]);
+    let ok = RequestOutcome::Response(200, true);
+    assert_eq!(
+        found(one(RequestKind::Removal, ok), vec![], &twice),
+        ["TWICE"]
+    );
+    assert!(found(one(RequestKind::Lookup, ok), vec![], &twice).is_empty());
+    let refused = RequestOutcome::Response(503, false);
+    assert_eq!(
+        found(one(RequestKind::Removal, refused), vec![], &ran),
+        ["REFUSED"]
+    );
     assert!(
         found(
-            one(Kind::Order, refused),
+            one(RequestKind::Removal, refused),
             vec![],
             &[arrival(start, 10, false)]
         )
         .is_empty()
     );
-    let mixed = End::Answer(200, false);
-    assert_eq!(found(one(Kind::Booking, mixed), vec![], &ran), ["MIXED"]);
-    assert_eq!(found(one(Kind::Order, End::Cut), vec![], &ran), ["LOST"]);
+    let mixed = RequestOutcome::Response(200, false);
+    assert_eq!(
+        found(one(RequestKind::Booking, mixed), vec![], &ran),
+        ["MIXED"]
+    );
+    assert_eq!(
+        found(
+            one(RequestKind::Removal, RequestOutcome::ConnectionClosed),
+            vec![],
+            &ran
+        ),
+        ["LOST"]
+    );
     // Not read: it crossed the close of its connection. Read, or passed on but not run: lost.
-    assert!(found(one(Kind::Order, End::Cut), vec![], &[]).is_empty());
-    let long = Sent {
-        until: after(start, 201),
-        ..sent(start, 0, Kind::Order, End::Cut)
+    assert!(
+        found(
+            one(RequestKind::Removal, RequestOutcome::ConnectionClosed),
+            vec![],
+            &[]
+        )
+        .is_empty()
+    );
+    let long = RequestRecord {
+        ended_at: after(start, 201),
+        ..sent(
+            start,
+            0,
+            RequestKind::Removal,
+            RequestOutcome::ConnectionClosed,
+        )
     };
     assert_eq!(found(vec![long], vec![], &[]), ["LOST"]);
     let passed = [arrival(start, 10, false)];
-    assert_eq!(found(one(Kind::Order, End::Cut), vec![], &passed), ["LOST"]);
-    let stopped = event(start, 0, Some(500), What::Stop("i0".into()));
     assert_eq!(
-        found(one(Kind::Order, End::Cut), vec![stopped], &ran),
+        found(
+            one(RequestKind::Removal, RequestOutcome::ConnectionClosed),
+            vec![],
+            &passed
+        ),
         ["LOST"]
     );
-    let killed = event(start, 0, Some(500), What::Kill("i0".into()));
-    assert!(found(one(Kind::Order, End::Cut), vec![killed], &ran).is_empty());
+    let stopped = event(start, 0, Some(500), EventKind::InstanceStop("i0".into()));
+    assert_eq!(
+        found(
+            one(RequestKind::Removal, RequestOutcome::ConnectionClosed),
+            vec![stopped],
+            &ran
+        ),
+        ["LOST"]
+    );
+    let killed = event(start, 0, Some(500), EventKind::InstanceKill("i0".into()));
+    assert!(
+        found(
+            one(RequestKind::Removal, RequestOutcome::ConnectionClosed),
+            vec![killed],
+            &ran
+        )
+        .is_empty()
+    );
 }
 
 #[test]
 fn work_at_targets_that_should_get_none_is_found() {
     let start = after(Instant::now(), 10_000);
-    let leave = event(start, 0, None, What::Leave("boards-0".into()));
+    let leave = event(start, 0, None, EventKind::TargetDrain("boards-0".into()));
     let late = [arrival(start, 2400, true)];
     assert_eq!(found(vec![], vec![leave.clone()], &late), ["DRAIN"]);
     assert!(found(vec![], vec![leave.clone()], &[arrival(start, 2200, true)]).is_empty());
-    let store = event(start, 100, Some(300), What::Store);
+    let store = event(start, 100, Some(300), EventKind::StoreFault);
     assert!(found(vec![], vec![leave, store], &late).is_empty());
-    let withdrawn = event(start, 0, None, What::Withdrawn("west".into()));
+    let withdrawn = event(start, 0, None, EventKind::Withdrawal("west".into()));
     let late = [arrival(start, 5400, true)];
     assert_eq!(found(vec![], vec![withdrawn], &late), ["EVAC"]);
 }
@@ -108,7 +160,12 @@
 #[test]
 fn a_rush_at_a_cold_target_is_found() {
     let start = after(Instant::now(), 10_000);
-    let cold = vec![event(start, 0, Some(1), What::Cold("boards-0".into()))];
+    let cold = vec![event(
+        start,
+        0,
+        Some(1),
+        EventKind::ColdStart("boards-0".into()),
+    )];
     let rush = |from: u64, count: u64, apart: u64| -> Vec<Arrival> {
         let times = (0..count).map(|it| from + it * apart);
         times.map(|at| arrival(start, at, true)).collect()
@@ -123,8 +180,20 @@
 #[test]
 fn an_old_configuration_is_found() {
     let start = after(Instant::now(), 10_000);
-    let events = vec![event(start, 0, None, What::Lookups("crews".into()))];
-    let lookup = |at| vec![sent(start, at, Kind::Lookup, End::Answer(200, true))];
+    let events = vec![event(
+        start,
+        0,
+        None,
+        EventKind::LookupService("crews".into()),
+    )];
+    let lookup = |at| {
+        vec![sent(
+            start,
+            at,
+            RequestKind::Lookup,
+            RequestOutcome::Response(200, true),
+        )]
+    };
     let ran = |at| [arrival(start, at, true)];
     assert_eq!(found(lookup(2400), events.clone(), &ran(2410)), ["CONFIG"]);
     assert!(found(lookup(1900), events, &ran(1910)).is_empty());
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,7 +1,7 @@
 //! A short soak, and every seed that ever failed.
 
 use {
-    cowslip_soak::run::{self, Options},
+    cowslip_soak::run::{self, RunOptions},
     std::{fs, time::Duration},
 };
 
@@ -42,27 +42,27 @@
 const KNOWN: &str = "FAILBACK:";
 
 async fn holds(seed: u64, seconds: u64) {
-    let options = Options {
-        program: run::program().expect("the program is built"),
-        files: run::files(seed),
+    let options = RunOptions {
+        program_path: run::find_program().expect("the program is built"),
+        work_directory: run::work_directory(seed),
         seed,
-        time: Duration::from_secs(seconds),
-        instances: 4,
+        fault_time: Duration::from_secs(seconds),
+        instance_count: 4,
     };
-    let report = run::run(&options).await.expect("the run ends");
+    let report = run::run_deployment(&options).await.expect("the run ends");
     let known = |line: &&String| line.starts_with(KNOWN);
-    for line in report.broken.iter().filter(known) {
+    for line in report.violations.iter().filter(known) {
         println!("known red, seed {seed}: {line}");
     }
-    let broken: Vec<&String> = report.broken.iter().filter(|it| !known(it)).collect();
+    let broken: Vec<&String> = report.violations.iter().filter(|it| !known(it)).collect();
     assert!(
         broken.is_empty(),
         "seed {seed}: {broken:#?}, logs in {}",
-        options.files.display()
+        options.work_directory.display()
     );
-    let answered = report.ends.get("200").copied().unwrap_or_default();
-    assert!(answered > 100, "seed {seed}: {:?}", report.ends);
-    fs::remove_dir_all(&options.files).expect("the files are there");
+    let answered = report.outcomes.get("200").copied().unwrap_or_default();
+    assert!(answered > 100, "seed {seed}: {:?}", report.outcomes);
+    fs::remove_dir_all(&options.work_directory).expect("the files are there");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
