--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,7 +1,7 @@
-//! Callers that keep their connections for as long as these serve.
+//! Simulated callers, which reuse their connections for as long as these stay open.
 
 use {
-    crate::history::{History, RequestKind, RequestOutcome, RequestRecord},
+    crate::history::{History, Outcome, RequestKind, RequestRecord},
     bytes::Bytes,
     http::Request,
     http_body_util::{BodyExt, Full},
@@ -15,58 +15,71 @@
     },
 };
 
-/// Time that a caller waits.
-const PATIENCE: Duration = Duration::from_millis(3000);
-/// Time beyond it after which a caller gives its connection up.
-const SILENCE: Duration = Duration::from_millis(1000);
-/// Bounds of the pause between two requests of a caller, in milliseconds.
-const PAUSE: (u64, u64) = (30, 250);
-/// Part of the requests that go to a few keys, and these.
-const HOT: (f64, u64) = (0.3, 8);
+/// Deadline that each request carries.
+const REQUEST_DEADLINE: Duration = Duration::from_millis(3000);
+/// Time after the deadline at which a caller gives up its connection; also the connect timeout.
+const DEADLINE_GRACE: Duration = Duration::from_millis(1000);
+/// Range of the pause between two requests of a caller, in milliseconds.
+const PAUSE_RANGE_MS: (u64, u64) = (30, 250);
+/// Fraction of the requests that use a hot key, and the number of hot keys.
+const HOT_KEYS: (f64, u64) = (0.3, 8);
 
-/// Where a caller sends: names and addresses of the instances.
+/// Names of the instances and their addresses for callers.
 pub type InstanceAddresses = Vec<(String, SocketAddr)>;
 
-type Link = SendRequest<Full<Bytes>>;
+type Connection = SendRequest<Full<Bytes>>;
 
-/// Sends requests until this is dropped.
-pub async fn run_caller(number: u64, seed: u64, doors: InstanceAddresses, history: History) {
+/// Sends requests to random instances and records their outcomes until the future is dropped.
+pub async fn run_caller(number: u64, seed: u64, instances: InstanceAddresses, history: History) {
     let mut random = StdRng::seed_from_u64(seed ^ (number << 32));
-    let mut open: Option<(usize, Link)> = None;
+    let mut idle: Option<(usize, Connection)> = None;
     for count in 0u64.. {
-        sleep(Duration::from_millis(random.random_range(PAUSE.0..PAUSE.1))).await;
-        let link = match open.take().filter(|(_, link)| !link.is_closed()) {
-            Some(link) => Some(link),
-            None => dial(random.random_range(0..doors.len()), &doors).await,
+        sleep(Duration::from_millis(
+            random.random_range(PAUSE_RANGE_MS.0..PAUSE_RANGE_MS.1),
+        ))
+        .await;
+        let connection = match idle
+            .take()
+            .filter(|(_, connection)| !connection.is_closed())
+        {
+            Some(connection) => Some(connection),
+            None => open_connection(random.random_range(0..instances.len()), &instances).await,
         };
-        let Some((door, mut link)) = link else {
+        let Some((index, mut connection)) = connection else {
             continue;
         };
-        let (id, kind) = (format!("{number}-{count}"), kind(&mut random));
-        let request = request(kind, &id, key(&mut random));
-        let at = Instant::now();
-        let end = send(&mut link, request, &id).await;
-        if matches!(end, RequestOutcome::Response(..)) {
-            open = Some((door, link));
+        let (id, kind) = (format!("{number}-{count}"), random_kind(&mut random));
+        let request = build_request(kind, &id, random_key(&mut random));
+        let sent_at = Instant::now();
+        let outcome = exchange(&mut connection, request, &id).await;
+        if matches!(outcome, Outcome::Response(..)) {
+            idle = Some((index, connection));
         }
         history.add_request(RequestRecord {
             id,
             kind,
-            instance: doors[door].0.clone(),
-            sent_at: at,
+            instance: instances[index].0.clone(),
+            sent_at,
             ended_at: Instant::now(),
-            outcome: end,
+            outcome,
         });
     }
 }
 
-/// Sends one request to an instance; returns how it ended, or `None` without a connection.
-pub async fn send_probe(address: SocketAddr, id: &str, key: u64) -> Option<RequestOutcome> {
-    let (_, mut link) = dial(0, &[(String::new(), address)]).await?;
-    Some(send(&mut link, request(RequestKind::Removal, id, key), id).await)
+/// Sends one request to an instance; returns its outcome, or `None` if the connect failed.
+pub async fn send_probe(address: SocketAddr, id: &str, key: u64) -> Option<Outcome> {
+    let (_, mut connection) = open_connection(0, &[(String::new(), address)]).await?;
+    Some(
+        exchange(
+            &mut connection,
+            build_request(RequestKind::Removal, id, key),
+            id,
+        )
+        .await,
+    )
 }
 
-fn kind(random: &mut StdRng) -> RequestKind {
+fn random_kind(random: &mut StdRng) -> RequestKind {
     match random.random_range(0..10) {
         0..5 => RequestKind::Lookup,
         5..8 => RequestKind::Removal,
@@ -74,14 +87,14 @@
     }
 }
 
-fn key(random: &mut StdRng) -> u64 {
-    match random.random_bool(HOT.0) {
-        true => 20_000 + random.random_range(0..HOT.1),
+fn random_key(random: &mut StdRng) -> u64 {
+    match random.random_bool(HOT_KEYS.0) {
+        true => 20_000 + random.random_range(0..HOT_KEYS.1),
         false => random.random_range(0..65_536),
     }
 }
 
-fn request(kind: RequestKind, id: &str, key: u64) -> Request<Full<Bytes>> {
+fn build_request(kind: RequestKind, id: &str, key: u64) -> Request<Full<Bytes>> {
     let (method, path) = match kind {
         RequestKind::Lookup => ("GET", "/lookup/x"),
         RequestKind::Removal => ("POST", "/remove/x"),
@@ -93,32 +106,35 @@
         .header("host", "front.example")
         .header("x-request-id", id)
         .header("x-shard-key", key.to_string())
-        .header("x-deadline-ms", PATIENCE.as_millis().to_string())
+        .header("x-deadline-ms", REQUEST_DEADLINE.as_millis().to_string())
         .body(Full::new(Bytes::copy_from_slice(id.as_bytes())))
         .expect("a valid request")
 }
 
-async fn dial(door: usize, doors: &[(String, SocketAddr)]) -> Option<(usize, Link)> {
-    let connect = TcpStream::connect(doors[door].1);
-    let stream = timeout(SILENCE, connect).await.ok()?.ok()?;
-    let (link, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // The link tells of the end of the connection.
+async fn open_connection(
+    index: usize,
+    instances: &[(String, SocketAddr)],
+) -> Option<(usize, Connection)> {
+    let connecting = TcpStream::connect(instances[index].1);
+    let stream = timeout(DEADLINE_GRACE, connecting).await.ok()?.ok()?;
+    let (connection, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+    // `connection` reports the errors that are dropped here.
     tokio::spawn(async move { drop(driver.await) });
-    Some((door, link))
+    Some((index, connection))
 }
 
-async fn send(link: &mut Link, request: Request<Full<Bytes>>, id: &str) -> RequestOutcome {
-    let exchange = async {
-        // A connection that ended before the request left has taken nothing.
-        link.ready().await?;
-        let answer = link.send_request(request).await?;
-        let status = answer.status().as_u16();
-        let body = answer.into_body().collect().await?.to_bytes();
-        Ok::<_, hyper::Error>(RequestOutcome::Response(status, body == id.as_bytes()))
+async fn exchange(connection: &mut Connection, request: Request<Full<Bytes>>, id: &str) -> Outcome {
+    let pending = async {
+        // An error here means that the connection closed before the request was sent.
+        connection.ready().await?;
+        let response = connection.send_request(request).await?;
+        let status = response.status().as_u16();
+        let body = response.into_body().collect().await?.to_bytes();
+        Ok::<_, hyper::Error>(Outcome::Response(status, body == id.as_bytes()))
     };
-    match timeout(PATIENCE + SILENCE, exchange).await {
-        Ok(Ok(end)) => end,
-        Ok(Err(_)) => RequestOutcome::ConnectionClosed,
-        Err(_) => RequestOutcome::TimedOut,
+    match timeout(REQUEST_DEADLINE + DEADLINE_GRACE, pending).await {
+        Ok(Ok(outcome)) => outcome,
+        Ok(Err(_)) => Outcome::ConnectionClosed,
+        Err(_) => Outcome::TimedOut,
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: drawn from a seed, one after the other, also while others last.
+//! Faults: drawn at random from a seed, injected for a time and undone; they may overlap.
 
 use {
     crate::{
@@ -21,96 +21,97 @@
     },
 };
 
-/// Longest time in which a process that is stopped in order ends.
-const STOPPED: Duration = Duration::from_millis(6500);
-/// Period in which the end of a process is looked for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time after which the report of a target that crashed lapses.
-const LAPSE: Duration = Duration::from_millis(1500);
-/// Time for which a leaving target serves.
-const DRAIN: Duration = Duration::from_millis(3500);
+/// Time within which a process exits after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_millis(6500);
+/// Interval of the checks whether a process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which the report of a crashed target is removed.
+const REPORT_EXPIRY: Duration = Duration::from_millis(1500);
+/// Time for which a draining target keeps serving.
+const DRAIN_TIME: Duration = Duration::from_millis(3500);
 
-/// A deployment that faults are done to.
+/// A deployment under test.
 #[derive(Debug)]
 pub struct Deployment {
-    /// The store.
+    /// Store of all instances.
     pub store: FakeStore,
-    /// Targets.
+    /// Targets; a fault of a target holds its lock.
     pub targets: Vec<Mutex<ProxiedTarget>>,
-    /// Instances.
+    /// Instances; faults of a process hold its lock.
     pub instances: Vec<Mutex<Instance>>,
-    /// What happened.
+    /// History of the run.
     pub history: History,
-    /// Lets one withdrawal of a data centre after another.
+    /// One lock a data centre: its withdrawals run one after another, as the end of one would
+    /// restore the data centre during the next.
     pub withdrawal_locks: [Mutex<()>; DATA_CENTRES.len()],
-    /// Version of the configuration, and the place in the history of what it says.
-    pub config: Mutex<(u32, Option<usize>)>,
+    /// Next version of the configuration, and the history index of the current one's event.
+    pub config_state: Mutex<(u32, Option<usize>)>,
 }
 
-/// A fault.
+/// A fault; targets, instances and data centres are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The store treats all calls like this.
-    StoreMode(store::StoreMode),
-    /// One instance's way to the store, or that of all.
+    /// The store handles all calls in this mode.
+    SetStoreMode(store::StoreMode),
+    /// The proxy between the store and one instance (`None`: all instances) is in this mode.
     StoreLink(Option<usize>, ProxyMode),
-    /// The way to a target.
+    /// The proxy in front of a target is in this mode.
     TargetLink(usize, ProxyMode),
-    /// A target answers like this.
-    TargetMode(usize, target::TargetMode),
-    /// A target ends and starts again.
+    /// A target handles requests and commands in this mode.
+    SetTargetMode(usize, target::TargetMode),
+    /// A target crashes and restarts.
     CrashTarget(usize),
-    /// A target leaves, and another run of it comes.
+    /// A target drains, stops and restarts.
     DrainTarget(usize),
-    /// An instance is paused.
+    /// An instance is paused by SIGSTOP.
     PauseInstance(usize),
-    /// An instance is killed and starts again.
+    /// An instance is killed and restarts.
     KillInstance(usize),
-    /// All instances are killed at once and start again.
+    /// All instances are killed at once and restart.
     KillAllInstances,
-    /// An instance is stopped in order and starts again.
+    /// An instance is shut down by SIGTERM and restarts.
     StopInstance(usize),
-    /// An instance reads its settings again.
+    /// An instance reloads its settings on SIGHUP.
     ReloadSettings(usize),
-    /// Lookups go to the other service.
+    /// A new configuration sends lookups to the other service.
     SwitchConfig,
     /// A data centre is withdrawn and restored.
     WithdrawDataCentre(usize),
 }
 
-/// Draws a fault and the time that it lasts.
+/// Draws a fault and its duration.
 pub fn draw_fault(random: &mut StdRng, instances: usize, targets: usize) -> (Fault, Duration) {
-    let time = Duration::from_millis(random.random_range(300..4000));
-    let short = Duration::from_millis(random.random_range(200..2500));
+    let duration = Duration::from_millis(random.random_range(300..4000));
+    let delay = Duration::from_millis(random.random_range(200..2500));
     let (instance, target) = (
         random.random_range(0..instances),
         random.random_range(0..targets),
     );
-    let way = [
+    let proxy_mode = [
         ProxyMode::Delay(Duration::from_millis(random.random_range(20..400))),
         ProxyMode::Reset,
         ProxyMode::DropFromClient,
         ProxyMode::DropToClient,
         ProxyMode::Blackhole,
     ][random.random_range(0..5)];
-    let whose = random.random_bool(0.6).then_some(instance);
-    let mood = [
+    let affected = random.random_bool(0.6).then_some(instance);
+    let store_mode = [
         store::StoreMode::Unavailable,
         store::StoreMode::DropResponses,
-        store::StoreMode::DelayWrites(short),
-        store::StoreMode::DelayCalls(short / 5),
+        store::StoreMode::DelayWrites(delay),
+        store::StoreMode::DelayCalls(delay / 5),
         store::StoreMode::CompactedFeed,
     ][random.random_range(0..5)];
-    let manner = [
+    let target_mode = [
         target::TargetMode::CloseWithoutResponse,
-        target::TargetMode::DelayCommands(short),
+        target::TargetMode::DelayCommands(delay),
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
-        0 => Fault::StoreMode(mood),
-        1 | 2 => Fault::StoreLink(whose, way),
-        3 | 4 => Fault::TargetLink(target, way),
-        5 => Fault::TargetMode(target, manner),
+        0 => Fault::SetStoreMode(store_mode),
+        1 | 2 => Fault::StoreLink(affected, proxy_mode),
+        3 | 4 => Fault::TargetLink(target, proxy_mode),
+        5 => Fault::SetTargetMode(target, target_mode),
         6 => Fault::CrashTarget(target),
         7 => Fault::DrainTarget(target),
         8 => Fault::PauseInstance(instance),
@@ -121,200 +122,212 @@
         12 => Fault::SwitchConfig,
         _ => Fault::WithdrawDataCentre(random.random_range(0..DATA_CENTRES.len())),
     };
-    (fault, time)
+    (fault, duration)
 }
 
-/// Does a fault for a time, then undoes it.
-pub async fn inject_fault(world: Arc<Deployment>, fault: Fault, time: Duration) {
+/// Injects a fault and undoes it; faults that end by themselves ignore `duration`.
+pub async fn inject_fault(deployment: Arc<Deployment>, fault: Fault, duration: Duration) {
     match fault {
-        Fault::StoreMode(mood) => {
-            let place = world.history.begin_event(EventKind::StoreFault);
-            world.store.set_mode(mood);
-            sleep(time).await;
-            world.store.set_mode(store::StoreMode::Normal);
-            world.history.end_event(place);
+        Fault::SetStoreMode(store_mode) => {
+            let store_event = deployment.history.begin_event(EventKind::StoreFault);
+            deployment.store.set_mode(store_mode);
+            sleep(duration).await;
+            deployment.store.set_mode(store::StoreMode::Normal);
+            deployment.history.end_event(store_event);
         }
-        Fault::StoreLink(whose, way) => store_way(&world, whose, way, time).await,
-        Fault::TargetLink(at, way) => {
-            let place = world.targets[at].lock().await;
-            let noted = world
+        Fault::StoreLink(index, mode) => set_store_link(&deployment, index, mode, duration).await,
+        Fault::TargetLink(index, mode) => {
+            let proxied = deployment.targets[index].lock().await;
+            let event = deployment
                 .history
-                .begin_event(EventKind::TargetFault(place.id.clone()));
-            place.proxy.set_mode(way);
-            sleep(time).await;
-            place.proxy.set_mode(ProxyMode::Forward);
-            world.history.end_event(noted);
+                .begin_event(EventKind::TargetFault(proxied.id.clone()));
+            proxied.proxy.change_mode(mode);
+            sleep(duration).await;
+            proxied.proxy.change_mode(ProxyMode::Forward);
+            deployment.history.end_event(event);
         }
-        Fault::TargetMode(at, mood) => {
-            let place = world.targets[at].lock().await;
-            let noted = world
+        Fault::SetTargetMode(index, target_mode) => {
+            let proxied = deployment.targets[index].lock().await;
+            let event = deployment
                 .history
-                .begin_event(EventKind::TargetFault(place.id.clone()));
-            place.set_mode(mood);
-            sleep(time).await;
-            place.set_mode(target::TargetMode::Normal);
-            world.history.end_event(noted);
+                .begin_event(EventKind::TargetFault(proxied.id.clone()));
+            proxied.set_mode(target_mode);
+            sleep(duration).await;
+            proxied.set_mode(target::TargetMode::Normal);
+            deployment.history.end_event(event);
         }
-        Fault::CrashTarget(at) => crash(&world, at, time).await,
-        Fault::DrainTarget(at) => leave(&world, at, time).await,
-        Fault::PauseInstance(at) => {
-            let mut instance = world.instances[at].lock().await;
-            let noted = world
+        Fault::CrashTarget(index) => crash_target(&deployment, index, duration).await,
+        Fault::DrainTarget(index) => drain_target(&deployment, index, duration).await,
+        Fault::PauseInstance(index) => {
+            let mut instance = deployment.instances[index].lock().await;
+            let event = deployment
                 .history
                 .begin_event(EventKind::InstancePause(instance.name.clone()));
             instance.signal(Signal::SIGSTOP);
-            sleep(time).await;
+            sleep(duration).await;
             instance.signal(Signal::SIGCONT);
-            world.history.end_event(noted);
+            deployment.history.end_event(event);
         }
-        Fault::KillInstance(at) => kill(&world, at, time).await,
+        Fault::KillInstance(index) => kill_instance(&deployment, index, duration).await,
         Fault::KillAllInstances => {
-            let kills = (0..world.instances.len()).map(|at| {
-                let world = world.clone();
-                tokio::spawn(async move { kill(&world, at, time / 4).await })
+            let kills = (0..deployment.instances.len()).map(|index| {
+                let deployment = deployment.clone();
+                tokio::spawn(async move { kill_instance(&deployment, index, duration / 4).await })
             });
             for kill in kills.collect::<Vec<_>>() {
-                // A fault that panicked has said why.
+                // A panic of the task has already been printed.
                 let _ = kill.await;
             }
         }
-        Fault::StopInstance(at) => stop(&world, at).await,
-        Fault::ReloadSettings(at) => {
-            let mut instance = world.instances[at].lock().await;
+        Fault::StopInstance(index) => stop_instance(&deployment, index).await,
+        Fault::ReloadSettings(index) => {
+            let mut instance = deployment.instances[index].lock().await;
             instance.wait_for_signal_handlers().await;
             instance.signal(Signal::SIGHUP);
         }
-        Fault::SwitchConfig => switch_lookup_service(&world).await,
-        Fault::WithdrawDataCentre(at) => {
-            let _one = world.withdrawal_locks[at].lock().await;
-            let noted = world
+        Fault::SwitchConfig => switch_lookup_service(&deployment).await,
+        Fault::WithdrawDataCentre(index) => {
+            let _guard = deployment.withdrawal_locks[index].lock().await;
+            let event = deployment
                 .history
-                .begin_event(EventKind::Withdrawal(DATA_CENTRES[at].into()));
-            let key = format!("evacuate/{}", DATA_CENTRES[at]);
-            world.store.put("op", &key, b"{}");
-            sleep(2 * time + Duration::from_secs(4)).await;
-            world.history.end_event(noted);
-            world.store.remove("op", &key);
+                .begin_event(EventKind::Withdrawal(DATA_CENTRES[index].into()));
+            let key = format!("evacuate/{}", DATA_CENTRES[index]);
+            deployment.store.put("op", &key, b"{}");
+            sleep(2 * duration + Duration::from_secs(4)).await;
+            deployment.history.end_event(event);
+            deployment.store.remove("op", &key);
         }
     }
 }
 
-async fn store_way(world: &Deployment, whose: Option<usize>, way: ProxyMode, time: Duration) {
-    let noted = world.history.begin_event(EventKind::StoreFault);
-    let all = 0..world.instances.len();
-    let chosen = all.filter(|at| whose.is_none_or(|one| one == *at));
-    let chosen: Vec<usize> = chosen.collect();
-    for at in &chosen {
-        world.instances[*at].lock().await.store_proxy.set_mode(way);
+async fn set_store_link(
+    deployment: &Deployment,
+    affected: Option<usize>,
+    mode: ProxyMode,
+    duration: Duration,
+) {
+    let event = deployment.history.begin_event(EventKind::StoreFault);
+    let all = 0..deployment.instances.len();
+    let indices = all.filter(|index| affected.is_none_or(|it| it == *index));
+    let indices: Vec<usize> = indices.collect();
+    for index in &indices {
+        deployment.instances[*index]
+            .lock()
+            .await
+            .store_proxy
+            .change_mode(mode);
     }
-    sleep(time).await;
-    for at in &chosen {
-        world.instances[*at]
+    sleep(duration).await;
+    for index in &indices {
+        deployment.instances[*index]
             .lock()
             .await
             .store_proxy
-            .set_mode(ProxyMode::Forward);
+            .change_mode(ProxyMode::Forward);
     }
-    world.history.end_event(noted);
+    deployment.history.end_event(event);
 }
 
-async fn crash(world: &Deployment, at: usize, time: Duration) {
-    let mut place = world.targets[at].lock().await;
-    let noted = world
+async fn crash_target(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut proxied = deployment.targets[index].lock().await;
+    let event = deployment
         .history
-        .begin_event(EventKind::TargetFault(place.id.clone()));
-    place.crash();
-    if time > LAPSE {
-        sleep(LAPSE).await;
-        place.remove_report(&world.store);
+        .begin_event(EventKind::TargetFault(proxied.id.clone()));
+    proxied.crash();
+    if duration > REPORT_EXPIRY {
+        sleep(REPORT_EXPIRY).await;
+        proxied.remove_report(&deployment.store);
     }
-    sleep(time).await;
-    come_back(world, &mut place).await;
-    world.history.end_event(noted);
+    sleep(duration).await;
+    restart_target(deployment, &mut proxied).await;
+    deployment.history.end_event(event);
 }
 
-async fn leave(world: &Deployment, at: usize, time: Duration) {
-    let mut place = world.targets[at].lock().await;
-    let noted = world
+async fn drain_target(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut proxied = deployment.targets[index].lock().await;
+    let event = deployment
         .history
-        .begin_event(EventKind::TargetDrain(place.id.clone()));
-    place.report_draining(&world.store);
-    sleep(DRAIN).await;
-    world.history.end_event(noted);
-    let gone = world
+        .begin_event(EventKind::TargetDrain(proxied.id.clone()));
+    proxied.report_draining(&deployment.store);
+    sleep(DRAIN_TIME).await;
+    deployment.history.end_event(event);
+    let stop_event = deployment
         .history
-        .begin_event(EventKind::TargetFault(place.id.clone()));
-    place.crash();
-    place.remove_report(&world.store);
-    sleep(time).await;
-    come_back(world, &mut place).await;
-    world.history.end_event(gone);
+        .begin_event(EventKind::TargetFault(proxied.id.clone()));
+    proxied.crash();
+    proxied.remove_report(&deployment.store);
+    sleep(duration).await;
+    restart_target(deployment, &mut proxied).await;
+    deployment.history.end_event(stop_event);
 }
 
-/// Starts a target anew, which is cold then.
-async fn come_back(world: &Deployment, place: &mut ProxiedTarget) {
-    let noted = world
+/// Restarts a target and records its cold start.
+async fn restart_target(deployment: &Deployment, proxied: &mut ProxiedTarget) {
+    let event = deployment
         .history
-        .begin_event(EventKind::ColdStart(place.id.clone()));
-    place.restore(&world.store).await;
-    world.history.end_event(noted);
+        .begin_event(EventKind::ColdStart(proxied.id.clone()));
+    proxied.restore(&deployment.store).await;
+    deployment.history.end_event(event);
 }
 
-async fn kill(world: &Deployment, at: usize, time: Duration) {
-    let mut instance = world.instances[at].lock().await;
-    let noted = world
+async fn kill_instance(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut instance = deployment.instances[index].lock().await;
+    let event = deployment
         .history
         .begin_event(EventKind::InstanceKill(instance.name.clone()));
     instance.signal(Signal::SIGKILL);
     instance.wait();
-    sleep(time).await;
-    start(&mut instance);
-    world.history.end_event(noted);
+    sleep(duration).await;
+    start_instance(&mut instance);
+    deployment.history.end_event(event);
 }
 
-async fn stop(world: &Deployment, at: usize) {
-    let mut instance = world.instances[at].lock().await;
+async fn stop_instance(deployment: &Deployment, index: usize) {
+    let mut instance = deployment.instances[index].lock().await;
     instance.wait_for_signal_handlers().await;
-    let noted = world
+    let event = deployment
         .history
         .begin_event(EventKind::InstanceStop(instance.name.clone()));
     instance.signal(Signal::SIGTERM);
-    let gone = async {
+    let exited = async {
         while instance.is_running() {
-            sleep(LOOK).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     };
-    if timeout(STOPPED, gone).await.is_err() {
-        let late = world
+    if timeout(STOP_TIMEOUT, exited).await.is_err() {
+        let kill_event = deployment
             .history
             .begin_event(EventKind::InstanceKill(instance.name.clone()));
-        eprintln!("{} did not end in time", instance.name);
+        eprintln!(
+            "{} did not exit within {STOP_TIMEOUT:?} after SIGTERM",
+            instance.name
+        );
         instance.signal(Signal::SIGKILL);
-        world.history.end_event(late);
+        deployment.history.end_event(kill_event);
     }
     instance.wait();
-    start(&mut instance);
-    world.history.end_event(noted);
+    start_instance(&mut instance);
+    deployment.history.end_event(event);
 }
 
-fn start(instance: &mut Instance) {
+fn start_instance(instance: &mut Instance) {
     if let Err(error) = instance.spawn() {
-        eprintln!("{} does not start: {error:#}", instance.name);
+        eprintln!("{}: cannot start the process: {error:#}", instance.name);
     }
 }
 
-/// Sends lookups to the other service.
-pub async fn switch_lookup_service(world: &Deployment) {
-    let mut state = world.config.lock().await;
-    let (version, former) = *state;
+/// Publishes a configuration that sends lookups to the other service.
+pub async fn switch_lookup_service(deployment: &Deployment) {
+    let mut current = deployment.config_state.lock().await;
+    let (version, previous_event) = *current;
     let service = if version % 2 == 0 { "boards" } else { "crews" };
-    if let Some(former) = former {
-        world.history.end_event(former);
+    if let Some(previous) = previous_event {
+        deployment.history.end_event(previous);
     }
     let text = build_config(&format!("r{}", 7 * version + 1), service);
-    world.store.put("op", "config", text.as_bytes());
-    let noted = world
+    deployment.store.put("op", "config", text.as_bytes());
+    let event = deployment
         .history
         .begin_event(EventKind::LookupService(service.into()));
-    *state = (version + 1, Some(noted));
+    *current = (version + 1, Some(event));
 }
--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -1,8 +1,8 @@
-//! The promises, checked against the history of a run.
+//! Checks of the router's guarantees against the history of a run.
 
 use {
     crate::{
-        history::{Event, EventKind, HistoryData, RequestKind, RequestOutcome},
+        history::{Event, EventKind, HistoryData, Outcome, RequestKind},
         targets::COLD_TIME,
     },
     cowslip_adapter_standins::observer::Arrival,
@@ -13,188 +13,227 @@
     tokio::time::Instant,
 };
 
-/// Time after a target's report that it leaves at which it gets nothing new.
-const DRAIN: Duration = Duration::from_millis(2000);
-/// Time after which a withdrawn data centre gets nothing.
-const WITHDRAWAL: Duration = Duration::from_millis(5000);
-/// Time after which a configuration is in force.
-const APPLY: Duration = Duration::from_millis(2000);
-/// Time after which a request whose connection ends has been read.
-const LOSS: Duration = Duration::from_millis(200);
-/// Most requests to a cold target in a second: 1.5 times its rate of 3.1, and 5.
-const MOST_COLD: usize = 9;
-const SECOND: Duration = Duration::from_secs(1);
-/// Allowance for the processes of this machine, which share its cores.
-const SLACK: Duration = Duration::from_millis(300);
-/// Time after a disturbance in which the times above do not hold.
-const AFTER: Duration = Duration::from_millis(3000);
+/// Time after a target reports that it is draining from which it gets no new requests.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2000);
+/// Time after the withdrawal of a data centre from which it gets no requests.
+const WITHDRAWAL_LIMIT: Duration = Duration::from_millis(5000);
+/// Time after which all instances apply a new configuration.
+const CONFIG_LIMIT: Duration = Duration::from_millis(2000);
+/// Time after the sending of a request from which it counts as read when its connection closes.
+const READ_LIMIT: Duration = Duration::from_millis(200);
+/// Highest number of requests a second to a cold target: 1.5 times its rate of 3.1, plus 5.
+const MAX_COLD_REQUESTS: usize = 9;
+const ONE_SECOND: Duration = Duration::from_secs(1);
+/// Allowance for scheduling delays, as all processes share the cores of one machine.
+const SCHEDULING_SLACK: Duration = Duration::from_millis(300);
+/// Time after a disturbance in which the limits above are not checked.
+const RECOVERY_TIME: Duration = Duration::from_millis(3000);
 
-/// Returns the promises that were broken, each with what shows it.
-pub fn find_violations(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
-    let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
+/// Returns the violations of the guarantees, each with its evidence.
+pub fn find_violations(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let mut executions: BTreeMap<&str, u32> = BTreeMap::new();
     for arrival in arrivals.iter().filter(|it| it.was_executed) {
-        *runs.entry(&arrival.request_id).or_default() += 1;
+        *executions.entry(&arrival.request_id).or_default() += 1;
     }
     let reached: BTreeSet<&str> = arrivals.iter().map(|it| it.request_id.as_str()).collect();
-    let mut found = requests(record, &runs, &reached);
-    found.extend(leaving(record, arrivals));
-    found.extend(withdrawn(record, arrivals));
-    found.extend(configured(record, arrivals));
-    found.extend(overheated(record, arrivals));
-    found
+    let mut violations = check_requests(history, &executions, &reached);
+    violations.extend(check_draining(history, arrivals));
+    violations.extend(check_withdrawal(history, arrivals));
+    violations.extend(check_config(history, arrivals));
+    violations.extend(check_cold_targets(history, arrivals));
+    violations
 }
 
-/// Each request: run at most once if it may not be repeated, refused truly, answered with its own.
-fn requests(
-    record: &HistoryData,
-    runs: &BTreeMap<&str, u32>,
+/// Checks that requests that are not idempotent run at most once, that rejected requests did not
+/// run, that each response belongs to its request, and that no request is lost.
+fn check_requests(
+    history: &HistoryData,
+    executions: &BTreeMap<&str, u32>,
     reached: &BTreeSet<&str>,
 ) -> Vec<String> {
-    let mut found = Vec::new();
-    for sent in &record.requests {
-        let ran = runs.get(sent.id.as_str()).copied().unwrap_or_default();
-        let took = (sent.ended_at - sent.sent_at).as_millis();
-        let said = format!(
-            "{} {:?} at {}: {:?} after {took} ms, ran {ran} times",
-            sent.id, sent.kind, sent.instance, sent.outcome
+    let mut violations = Vec::new();
+    for request in &history.requests {
+        let executed = executions
+            .get(request.id.as_str())
+            .copied()
+            .unwrap_or_default();
+        let elapsed_ms = (request.ended_at - request.sent_at).as_millis();
+        let evidence = format!(
+            "{} {:?} at {}: {:?} after {elapsed_ms} ms, ran {executed} times",
+            request.id, request.kind, request.instance, request.outcome
         );
-        if sent.kind != RequestKind::Lookup && ran > 1 {
-            found.push(format!("TWICE: {said}"));
+        if request.kind != RequestKind::Lookup && executed > 1 {
+            violations.push(format!("TWICE: {evidence}"));
         }
-        match sent.outcome {
-            RequestOutcome::Response(400..=499 | 503, _) if ran > 0 => {
-                found.push(format!("REFUSED: {said}"));
+        match request.outcome {
+            Outcome::Response(400..=499 | 503, _) if executed > 0 => {
+                violations.push(format!("REFUSED: {evidence}"));
             }
-            RequestOutcome::Response(200, false) => found.push(format!("MIXED: {said}")),
-            RequestOutcome::ConnectionClosed
-                if !harmed(record, &sent.instance, sent.sent_at, sent.ended_at) =>
+            Outcome::Response(200, false) => violations.push(format!("MIXED: {evidence}")),
+            Outcome::ConnectionClosed
+                if !was_disturbed(
+                    history,
+                    &request.instance,
+                    request.sent_at,
+                    request.ended_at,
+                ) =>
             {
-                // One that only crosses the close of its connection has not been read.
-                let read =
-                    sent.ended_at - sent.sent_at > LOSS || reached.contains(sent.id.as_str());
-                found.extend(read.then(|| format!("LOST: {said}")));
+                // A request that arrives while its connection closes was not read, thus not lost.
+                let was_read = request.ended_at - request.sent_at > READ_LIMIT
+                    || reached.contains(request.id.as_str());
+                violations.extend(was_read.then(|| format!("LOST: {evidence}")));
             }
             _ => {}
         }
     }
-    found
+    violations
 }
 
-/// Returns whether an instance was killed or paused between two moments.
-fn harmed(record: &HistoryData, instance: &str, from: Instant, until: Instant) -> bool {
-    record.events.iter().any(|event| {
-        let own = matches!(&event.kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
-        own && overlaps(event, from, until)
+/// Returns whether an instance was killed or paused within a time span.
+fn was_disturbed(history: &HistoryData, instance: &str, from: Instant, until: Instant) -> bool {
+    history.events.iter().any(|event| {
+        let is_own = matches!(&event.subject, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
+        is_own && overlaps(event, from, until)
     })
 }
 
-/// A leaving target gets nothing new.
-fn leaving(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
-    let late = record.events.iter().filter_map(|event| match &event.kind {
-        EventKind::TargetDrain(target) => {
-            let (late, after) = late(record, arrivals, event, DRAIN, |it| it.target_id == *target)?;
-            let request = &late.request_id;
-            Some(format!("DRAIN: {request} at {target} after {after} ms"))
-        }
-        _ => None,
-    });
+/// Checks that a draining target gets no new requests.
+fn check_draining(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let late = history
+        .events
+        .iter()
+        .filter_map(|event| match &event.subject {
+            EventKind::TargetDrain(target) => {
+                let (late, elapsed_ms) =
+                    find_late_request(history, arrivals, event, DRAIN_LIMIT, |it| {
+                        it.target_id == *target
+                    })?;
+                let request = &late.request_id;
+                Some(format!(
+                    "DRAIN: {request} at {target}, {elapsed_ms} ms after it began to drain"
+                ))
+            }
+            _ => None,
+        });
     late.collect()
 }
 
-/// A withdrawn data centre gets nothing.
-fn withdrawn(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
-    let late = record.events.iter().filter_map(|event| match &event.kind {
-        EventKind::Withdrawal(place) => {
-            let inside = |it: &Arrival| it.data_centre == *place;
-            let (late, after) = late(record, arrivals, event, WITHDRAWAL, inside)?;
-            let request = &late.request_id;
-            Some(format!("EVAC: {request} in {place} after {after} ms"))
-        }
-        _ => None,
-    });
+/// Checks that a withdrawn data centre gets no requests.
+fn check_withdrawal(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let late = history
+        .events
+        .iter()
+        .filter_map(|event| match &event.subject {
+            EventKind::Withdrawal(data_centre) => {
+                let is_affected = |it: &Arrival| it.data_centre == *data_centre;
+                let (late, elapsed_ms) =
+                    find_late_request(history, arrivals, event, WITHDRAWAL_LIMIT, is_affected)?;
+                let request = &late.request_id;
+                Some(format!(
+                    "EVAC: {request} in {data_centre}, {elapsed_ms} ms after its withdrawal"
+                ))
+            }
+            _ => None,
+        });
     late.collect()
 }
 
-/// Returns the first request that ran too late after the beginning of an event and before its end,
-/// and the milliseconds since, unless something else was harmed meanwhile.
-fn late<'a>(
-    record: &HistoryData,
+/// Returns the first matching request that ran later than `limit` after the beginning of an event
+/// and before its end, with the milliseconds since that beginning; `None` if there is none, or if
+/// the store or an instance was disturbed meanwhile.
+fn find_late_request<'a>(
+    history: &HistoryData,
     arrivals: &'a [Arrival],
     event: &Event,
     limit: Duration,
-    concerned: impl Fn(&Arrival) -> bool,
+    is_affected: impl Fn(&Arrival) -> bool,
 ) -> Option<(&'a Arrival, u128)> {
-    let due = event.started_at + limit + SLACK;
+    let deadline = event.started_at + limit + SCHEDULING_SLACK;
     let late = arrivals.iter().find(|it| {
-        let inside = it.arrived_at > due && event.ended_at.is_none_or(|end| it.arrived_at < end);
-        concerned(it) && it.was_executed && inside
+        let is_inside =
+            it.arrived_at > deadline && event.ended_at.is_none_or(|end| it.arrived_at < end);
+        is_affected(it) && it.was_executed && is_inside
     })?;
-    let calm = is_calm(record, event.started_at, late.arrived_at);
-    calm.then(|| (late, (late.arrived_at - event.started_at).as_millis()))
+    let is_calm = was_undisturbed(history, event.started_at, late.arrived_at);
+    is_calm.then(|| (late, (late.arrived_at - event.started_at).as_millis()))
 }
 
-/// A configuration is in force everywhere within its time, and never goes back.
-fn configured(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
-    let mut found = Vec::new();
-    let at: BTreeMap<&str, &Arrival> = arrivals
+/// Checks that all instances apply a new configuration in time and none returns to an older one.
+fn check_config(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let executed: BTreeMap<&str, &Arrival> = arrivals
         .iter()
         .filter(|it| it.was_executed)
         .map(|it| (it.request_id.as_str(), it))
         .collect();
-    for event in &record.events {
-        let EventKind::LookupService(service) = &event.kind else {
+    for event in &history.events {
+        let EventKind::LookupService(service) = &event.subject else {
             continue;
         };
-        for sent in record
+        for request in history
             .requests
             .iter()
             .filter(|it| it.kind == RequestKind::Lookup)
         {
-            let inside = sent.sent_at > event.started_at + APPLY + SLACK
-                && event.ended_at.is_none_or(|until| sent.ended_at < until);
-            let Some(arrival) = at.get(sent.id.as_str()).filter(|_| inside) else {
+            let is_in_force = request.sent_at > event.started_at + CONFIG_LIMIT + SCHEDULING_SLACK
+                && event.ended_at.is_none_or(|until| request.ended_at < until);
+            let Some(arrival) = executed.get(request.id.as_str()).filter(|_| is_in_force) else {
                 continue;
             };
-            if arrival.service != *service && is_calm(record, event.started_at, sent.sent_at) {
-                found.push(format!("CONFIG: {} went to {}", sent.id, arrival.service));
+            if arrival.service != *service
+                && was_undisturbed(history, event.started_at, request.sent_at)
+            {
+                violations.push(format!(
+                    "CONFIG: {} went to service {}",
+                    request.id, arrival.service
+                ));
                 break;
             }
         }
     }
-    found
+    violations
 }
 
-/// A cold target gets few requests, whatever else happens.
-fn overheated(record: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
-    let colds = record.events.iter().filter_map(|event| match &event.kind {
-        EventKind::ColdStart(target) => Some((target, event.started_at)),
-        _ => None,
-    });
-    let found = colds.filter_map(|(target, from)| {
-        let own = arrivals
+/// Checks that a cold target gets few requests, also during other faults.
+fn check_cold_targets(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
+    let cold_starts = history
+        .events
+        .iter()
+        .filter_map(|event| match &event.subject {
+            EventKind::ColdStart(target) => Some((target, event.started_at)),
+            _ => None,
+        });
+    let violations = cold_starts.filter_map(|(target, from)| {
+        let own_requests = arrivals
             .iter()
             .filter(|it| it.was_executed && it.target_id == *target);
-        let inside = own.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD_TIME);
-        let mut times: Vec<Instant> = inside.map(|it| it.arrived_at).collect();
+        let cold_requests =
+            own_requests.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD_TIME);
+        let mut times: Vec<Instant> = cold_requests.map(|it| it.arrived_at).collect();
         times.sort_unstable();
-        let mut spans = times.windows(MOST_COLD + 1);
-        let dense = spans.any(|span| span[MOST_COLD] - span[0] < SECOND);
-        dense.then(|| format!("FAILBACK: over {MOST_COLD} requests in a second at {target}"))
+        let mut windows = times.windows(MAX_COLD_REQUESTS + 1);
+        let exceeded = windows.any(|it| it[MAX_COLD_REQUESTS] - it[0] < ONE_SECOND);
+        exceeded.then(|| {
+            format!(
+                "FAILBACK: over {MAX_COLD_REQUESTS} requests in a second at cold target {target}"
+            )
+        })
     });
-    found.collect()
+    violations.collect()
 }
 
-/// Returns whether neither the store nor an instance was harmed about a span of time.
-fn is_calm(record: &HistoryData, from: Instant, until: Instant) -> bool {
-    !record.events.iter().any(|event| {
-        let harm = matches!(
-            event.kind,
+/// Returns whether neither the store nor an instance was disturbed within a time span or in the
+/// recovery time before it.
+fn was_undisturbed(history: &HistoryData, from: Instant, until: Instant) -> bool {
+    !history.events.iter().any(|event| {
+        let is_disruptive = matches!(
+            event.subject,
             EventKind::StoreFault
                 | EventKind::InstancePause(_)
                 | EventKind::InstanceKill(_)
                 | EventKind::InstanceStop(_)
         );
-        harm && overlaps(event, from - AFTER, until)
+        is_disruptive && overlaps(event, from - RECOVERY_TIME, until)
     })
 }
 
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,126 +1,126 @@
-//! What happened in a run: what callers sent and got, and what was done to the deployment.
+//! History of a run: the requests of the callers, and the events of the deployment.
 
 use {
     std::sync::{Arc, Mutex, MutexGuard, PoisonError},
     tokio::time::Instant,
 };
 
-/// RequestKind of a request.
+/// Kind of a request: its service, and whether it is idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
-    /// Repeatable, to a service that configurations change.
+    /// Idempotent, to the service that the configuration names.
     Lookup,
-    /// Not repeatable, to the divided service.
+    /// Not idempotent, to the sharded service.
     Removal,
-    /// Not repeatable, to the undivided service.
+    /// Not idempotent, to the service that is not sharded.
     Booking,
 }
 
-/// What a caller got.
+/// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOutcome {
-    /// An answer: its status, and whether its body is that of the request.
+pub enum Outcome {
+    /// Status of the response, and whether its body equals that of the request.
     Response(u16, bool),
-    /// The connection ended without a whole answer.
+    /// The connection closed before a complete response.
     ConnectionClosed,
-    /// The caller gave up.
+    /// No response within the deadline and the grace time after it.
     TimedOut,
 }
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Id.
+    /// Request ID.
     pub id: String,
-    /// RequestKind.
+    /// Kind.
     pub kind: RequestKind,
-    /// Instance that it was sent to.
+    /// Name of the instance that received the request.
     pub instance: String,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_at: Instant,
-    /// When it ended.
+    /// Time of the response or failure.
     pub ended_at: Instant,
-    /// How it ended.
-    pub outcome: RequestOutcome,
+    /// Outcome.
+    pub outcome: Outcome,
 }
 
-/// What an event is about.
+/// Kind of an event: a fault, or a change of the deployment that checks depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The store, or the way to it, is harmed.
+    /// A fault of the store or of the connections to it.
     StoreFault,
-    /// A target, or the way to it, is harmed.
+    /// A fault of the target with this ID or of the connections to it.
     TargetFault(String),
-    /// A target starts anew and is cold.
+    /// A cold start of the target with this ID.
     ColdStart(String),
-    /// An instance is paused.
+    /// The instance with this name is paused.
     InstancePause(String),
-    /// An instance is killed, until it serves again.
+    /// The instance with this name is killed; ends with its restart.
     InstanceKill(String),
-    /// An instance is stopped in order, until it serves again.
+    /// The instance with this name is shut down gracefully; ends with its restart.
     InstanceStop(String),
-    /// A target reports that it leaves.
+    /// The target with this ID reports that it is draining.
     TargetDrain(String),
-    /// A data centre is withdrawn.
+    /// The data centre with this name is withdrawn.
     Withdrawal(String),
-    /// A configuration sends lookups to this service.
+    /// The configuration sends lookups to the service with this name.
     LookupService(String),
 }
 
-/// Something that was done, from one moment to another.
+/// An event with its duration.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// What it is about.
-    pub kind: EventKind,
-    /// When it began.
+    /// Kind of the event, and what it concerns.
+    pub subject: EventKind,
+    /// Time at which it began.
     pub started_at: Instant,
-    /// When it ended; `None` while it lasts.
+    /// Time at which it ended; `None` while it lasts.
     pub ended_at: Option<Instant>,
 }
 
-/// History of a run; clones share it.
+/// History of a run; clones share the data.
 #[derive(Clone, Debug, Default)]
 pub struct History(Arc<Mutex<HistoryData>>);
 
-/// Everything that a history has.
+/// Data of a history.
 #[derive(Clone, Debug, Default)]
 pub struct HistoryData {
-    /// Requests of callers.
+    /// Requests that have ended.
     pub requests: Vec<RequestRecord>,
-    /// What was done.
+    /// Events in the order of their beginning.
     pub events: Vec<Event>,
 }
 
 impl History {
-    /// Takes a request that has ended.
+    /// Adds a request that has ended.
     pub fn add_request(&self, request: RequestRecord) {
-        self.record().requests.push(request);
+        self.data().requests.push(request);
     }
 
-    /// Notes that something begins; returns its place.
-    pub fn begin_event(&self, kind: EventKind) -> usize {
-        let mut record = self.record();
-        record.events.push(Event {
-            kind,
+    /// Records the beginning of an event; returns its index for [`History::end_event`].
+    pub fn begin_event(&self, subject: EventKind) -> usize {
+        let mut data = self.data();
+        data.events.push(Event {
+            subject,
             started_at: Instant::now(),
             ended_at: None,
         });
-        record.events.len() - 1
+        data.events.len() - 1
     }
 
-    /// Notes the end of what began.
-    pub fn end_event(&self, place: usize) {
-        if let Some(event) = self.record().events.get_mut(place) {
+    /// Records the end of the event with this index.
+    pub fn end_event(&self, index: usize) {
+        if let Some(event) = self.data().events.get_mut(index) {
             event.ended_at = Some(Instant::now());
         }
     }
 
-    /// Returns everything so far.
+    /// Returns a copy of the data so far.
     pub fn snapshot(&self) -> HistoryData {
-        self.record().clone()
+        self.data().clone()
     }
 
-    fn record(&self) -> MutexGuard<'_, HistoryData> {
+    fn data(&self) -> MutexGuard<'_, HistoryData> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instances as processes, ended only by their own ids.
+//! Instances as processes; signals go to their own process IDs only.
 
 use {
     crate::{Result, proxy::Proxy},
@@ -17,25 +17,26 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// Time from the start of a process after which it awaits signals, on a busy machine too.
-const AWAKE: Duration = Duration::from_millis(300);
+/// Time after the start of a process within which it installs its signal handlers, on a busy
+/// machine, too.
+const SIGNAL_HANDLER_DELAY: Duration = Duration::from_millis(300);
 
-/// An instance with its way to the store; its process is killed when this is dropped.
+/// An instance and the proxy between it and the store; dropping it kills the process.
 #[derive(Debug)]
 pub struct Instance {
     /// Name.
     pub name: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub caller_address: SocketAddr,
-    /// Address for the readiness question.
+    /// Listen address for the readiness check.
     pub readiness_address: SocketAddr,
-    /// ProxyMode to the store.
+    /// Proxy through which the instance reaches the store.
     pub store_proxy: Proxy,
-    program: PathBuf,
-    settings: PathBuf,
-    log: PathBuf,
+    program_path: PathBuf,
+    settings_path: PathBuf,
+    log_path: PathBuf,
     child: Option<Child>,
-    since: Instant,
+    started_at: Instant,
 }
 
 impl Drop for Instance {
@@ -46,44 +47,49 @@
 }
 
 impl Instance {
-    /// Starts the program of an instance; its settings and its log go to a directory.
+    /// Starts an instance; its settings and its log are written to `work_directory`.
     ///
     /// # Errors
     /// Fails if the files cannot be written or the program does not start.
     pub async fn start(
-        program: &Path,
-        files: &Path,
+        program_path: &Path,
+        work_directory: &Path,
         name: &str,
         data_centre: &str,
-        store: SocketAddr,
+        store_address: SocketAddr,
     ) -> Result<Self> {
-        let store = Proxy::start(Some(store)).await?;
-        let [callers, readiness, operators, beats] = [(); 4].map(|()| ports::allocate_address());
-        let text = format!(
+        let store_proxy = Proxy::start(Some(store_address)).await?;
+        let [
+            caller_address,
+            readiness_address,
+            operator_address,
+            heartbeat_address,
+        ] = [(); 4].map(|()| ports::allocate_address());
+        let settings = format!(
             "name = \"{name}\"\ndata_centre = \"{data_centre}\"\nstore = \"{}\"\n\
-             [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
-             operators = \"{operators}\"\nheartbeats = \"{beats}\"\n\
+             [listen]\ncallers = \"{caller_address}\"\nreadiness = \"{readiness_address}\"\n\
+             operators = \"{operator_address}\"\nheartbeats = \"{heartbeat_address}\"\n\
              [bounds]\nretry_slack = \"62\"\n",
-            store.address
+            store_proxy.address
         );
-        let settings = files.join(format!("{name}.toml"));
-        fs::write(&settings, text)?;
+        let settings_path = work_directory.join(format!("{name}.toml"));
+        fs::write(&settings_path, settings)?;
         let mut instance = Self {
             name: name.into(),
-            caller_address: callers,
-            readiness_address: readiness,
-            store_proxy: store,
-            program: program.into(),
-            settings,
-            log: files.join(format!("{name}.log")),
+            caller_address,
+            readiness_address,
+            store_proxy,
+            program_path: program_path.into(),
+            settings_path,
+            log_path: work_directory.join(format!("{name}.log")),
             child: None,
-            since: Instant::now(),
+            started_at: Instant::now(),
         };
         instance.spawn()?;
         Ok(instance)
     }
 
-    /// Starts the process, if it does not run.
+    /// Starts the process, if it is not running.
     ///
     /// # Errors
     /// Fails if the program does not start.
@@ -91,40 +97,43 @@
         if self.is_running() {
             return Ok(());
         }
-        let log = File::options().create(true).append(true).open(&self.log)?;
-        let mut command = Command::new(&self.program);
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log_path)?;
+        let mut command = Command::new(&self.program_path);
         command
             .arg("--settings")
-            .arg(&self.settings)
+            .arg(&self.settings_path)
             .stderr(log.try_clone()?)
             .stdout(log);
         self.child = Some(ports::spawn_process(&mut command)?);
-        self.since = Instant::now();
+        self.started_at = Instant::now();
         Ok(())
     }
 
-    /// Waits until the process awaits signals; before that, most of them end any process.
+    /// Waits until the process has its signal handlers; before that, most signals would end it.
     pub async fn wait_for_signal_handlers(&self) {
-        sleep_until(self.since + AWAKE).await;
+        sleep_until(self.started_at + SIGNAL_HANDLER_DELAY).await;
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub fn signal(&mut self, signal: Signal) {
         if self.is_running()
             && let Some(child) = &self.child
         {
-            // It may end at this moment.
+            // The process may have ended after the check.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Returns whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Waits for the end of the process; returns its exit code.
+    /// Waits for the end of the process; returns its exit code, or `None` if there is none.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.take()?.wait().ok()?.code()
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A soak: instances as separate processes on one machine, faults from outside, and the promises
-//! checked from what callers and targets see.
+//! Soak test: runs instances as processes on one machine, injects faults from outside, and checks
+//! the router's guarantees against what callers and targets observe.
 
 pub mod callers;
 pub mod faults;
@@ -10,5 +10,5 @@
 pub mod run;
 pub mod targets;
 
-/// Result of what may fail for want of means: files, ports, processes.
+/// Result of operations that need files, ports or processes.
 pub type Result<T> = eyre::Result<T>;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the soak.
+//! Command line of the soak test.
 
 use {
     clap::{Arg, Command, value_parser},
@@ -14,13 +14,13 @@
   cowslip-soak --seed 7
   cowslip-soak --seed 100 --seeds 50 --seconds 30
 
-Exit codes: 0 every promise held, 1 one was broken or a run failed, 2 usage.";
+Exit codes: 0 all guarantees held, 1 one was violated or a run failed, 2 usage.";
 
 fn main() -> Result<ExitCode> {
     let matches = command().get_matches();
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
-    let program = match matches.get_one::<PathBuf>("program") {
-        Some(program) => program.clone(),
+    let program_path = match matches.get_one::<PathBuf>("program") {
+        Some(path) => path.clone(),
         None => run::find_program()?,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -30,19 +30,19 @@
     let mut code = ExitCode::SUCCESS;
     for seed in number("seed")..number("seed") + number("seeds") {
         let options = RunOptions {
-            program_path: program.clone(),
-            work_directory: run::work_directory(seed),
+            program_path: program_path.clone(),
+            work_directory: run::work_directory_path(seed),
             seed,
             fault_time: Duration::from_secs(number("seconds")),
             instance_count: number("instances") as usize,
         };
         match runtime.block_on(run::run_deployment(&options)) {
             Ok(report) if report.violations.is_empty() => {
-                say(seed, &report);
+                print_report(seed, &report);
                 fs::remove_dir_all(&options.work_directory)?;
             }
             Ok(report) => {
-                say(seed, &report);
+                print_report(seed, &report);
                 println!("  logs in {}", options.work_directory.display());
                 code = ExitCode::FAILURE;
             }
@@ -55,16 +55,16 @@
     Ok(code)
 }
 
-fn say(seed: u64, report: &RunReport) {
-    let ends: Vec<String> = report
+fn print_report(seed: u64, report: &RunReport) {
+    let outcomes: Vec<String> = report
         .outcomes
         .iter()
-        .map(|(end, count)| format!("{end} {count}"))
+        .map(|(outcome, count)| format!("{outcome} {count}"))
         .collect();
     let (faults, broken) = (report.faults.len(), report.violations.len());
     println!(
         "seed {seed}: {broken} broken, {faults} faults, {}",
-        ends.join(", ")
+        outcomes.join(", ")
     );
     for line in &report.violations {
         println!("  {line}");
@@ -75,30 +75,34 @@
 }
 
 fn command() -> Command {
-    let number = |name: &'static str, usual: &'static str, help: &'static str| {
+    let number = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name("N")
-            .default_value(usual)
+            .default_value(default)
             .value_parser(value_parser!(u64))
             .help(help)
     };
     Command::new("cowslip-soak")
-        .about("Runs instances as processes, injects faults and checks the promises")
+        .about("Runs instances as processes, injects faults and checks the router's guarantees")
         .arg(number("seed", "1", "First seed"))
-        .arg(number("seeds", "1", "Number of seeds, one run each"))
+        .arg(number(
+            "seeds",
+            "1",
+            "Number of consecutive seeds, one run each",
+        ))
         .arg(number(
             "seconds",
             "20",
-            "Seconds for which faults come in a run",
+            "Seconds in which a run starts faults",
         ))
-        .arg(number("instances", "4", "Instances"))
+        .arg(number("instances", "4", "Number of instances"))
         .arg(
             Arg::new("program")
                 .long("program")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Program of an instance; by default the one built beside this"),
+                .help("Path of the cowslipcross program; by default the one built with this one"),
         )
         .after_help(EXAMPLES)
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections through it.
+//! A TCP proxy on loopback that injects network faults into its connections.
 
 use {
     crate::Result,
@@ -20,123 +20,133 @@
     },
 };
 
-/// Bytes that are passed on at a time.
-const BUFFER: usize = 16 << 10;
+/// Size of the buffer of each direction.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What becomes of connections.
+/// How a proxy treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Bytes pass.
+    /// Forwards all bytes.
     #[default]
     Forward,
-    /// Bytes pass after this time.
+    /// Forwards each read after this delay.
     Delay(Duration),
-    /// Connections are reset.
+    /// Resets open and new connections.
     Reset,
-    /// Bytes from the client are lost.
+    /// Drops bytes that the client sends.
     DropFromClient,
-    /// Bytes to the client are lost.
+    /// Drops bytes that the server sends.
     DropToClient,
-    /// All bytes are lost, and connections that are open now stay silent for good.
+    /// Drops all bytes; connections that were open in this mode drop them after it, too.
     Blackhole,
 }
 
-/// A proxy; it ends when this is dropped.
+/// A running proxy; dropping it resets its connections.
 #[derive(Debug)]
 pub struct Proxy {
     /// Address that it listens on.
     pub address: SocketAddr,
     upstream: Arc<Mutex<Option<SocketAddr>>>,
-    way: watch::Sender<ProxyMode>,
+    mode: watch::Sender<ProxyMode>,
     task: JoinHandle<()>,
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.way.send_replace(ProxyMode::Reset);
+        self.mode.send_replace(ProxyMode::Reset);
     }
 }
 
 impl Proxy {
-    /// Starts a proxy.
+    /// Starts a proxy to an upstream, which may be set later.
     ///
     /// # Errors
-    /// Fails if its port is taken.
+    /// Fails if the port is in use.
     pub async fn start(upstream: Option<SocketAddr>) -> Result<Self> {
         let listener = TcpListener::bind(ports::allocate_address()).await?;
         let address = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
-        let (way, seen) = watch::channel(ProxyMode::Forward);
-        let to = upstream.clone();
+        let (mode, mode_receiver) = watch::channel(ProxyMode::Forward);
+        let current_upstream = upstream.clone();
         let task = tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                let to = *to.lock().unwrap_or_else(PoisonError::into_inner);
-                tokio::spawn(connection(client, to, seen.clone()));
+                let server_address = *current_upstream
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                tokio::spawn(forward_connection(
+                    client,
+                    server_address,
+                    mode_receiver.clone(),
+                ));
             }
         });
         Ok(Self {
             address,
             upstream,
-            way,
+            mode,
             task,
         })
     }
 
-    /// Sets what becomes of connections from now on.
-    pub fn set_mode(&self, way: ProxyMode) {
-        self.way.send_replace(way);
+    /// Sets the mode of open and new connections.
+    pub fn change_mode(&self, mode: ProxyMode) {
+        self.mode.send_replace(mode);
     }
 
-    /// Sets where new connections go; `None` resets them.
+    /// Sets the server of new connections; `None` resets them.
     pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
         *self.upstream.lock().unwrap_or_else(PoisonError::into_inner) = upstream;
     }
 }
 
-async fn connection(client: TcpStream, to: Option<SocketAddr>, way: watch::Receiver<ProxyMode>) {
-    let server = match to {
-        Some(to) if *way.borrow() != ProxyMode::Reset => TcpStream::connect(to).await.ok(),
+async fn forward_connection(
+    client: TcpStream,
+    server_address: Option<SocketAddr>,
+    mode: watch::Receiver<ProxyMode>,
+) {
+    let server = match server_address {
+        Some(to) if *mode.borrow() != ProxyMode::Reset => TcpStream::connect(to).await.ok(),
         _ => None,
     };
-    // Without lingering, the end of a connection is a reset.
+    // With a linger time of zero, closing the connection sends a reset.
     let _ = SockRef::from(&client).set_linger(Some(Duration::ZERO));
     let Some(server) = server else {
         return;
     };
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let up = pump(
+    let upload = forward_bytes(
         from_client,
         to_server,
-        way.clone(),
+        mode.clone(),
         ProxyMode::DropFromClient,
     );
-    let down = pump(from_server, to_client, way, ProxyMode::DropToClient);
+    let download = forward_bytes(from_server, to_client, mode, ProxyMode::DropToClient);
     tokio::select! {
-        () = up => {}
-        () = down => {}
+        () = upload => {}
+        () = download => {}
     }
 }
 
-/// Passes bytes on in one direction, which `lost` cuts.
-async fn pump(
+/// Forwards bytes in one direction, except in the mode `drop_mode`.
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: watch::Receiver<ProxyMode>,
-    lost: ProxyMode,
+    mut mode: watch::Receiver<ProxyMode>,
+    drop_mode: ProxyMode,
 ) {
-    let mut buffer = vec![0; BUFFER];
-    let mut silent = false;
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut is_blackholed = false;
     loop {
-        let now = *way.borrow_and_update();
-        silent |= now == ProxyMode::Blackhole;
-        if now == ProxyMode::Reset {
+        let current = *mode.borrow_and_update();
+        is_blackholed |= current == ProxyMode::Blackhole;
+        if current == ProxyMode::Reset {
             return;
         }
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            changed = way.changed() => match changed {
+            changed = mode.changed() => match changed {
                 Ok(()) => continue,
                 Err(_) => return,
             },
@@ -144,12 +154,12 @@
         let Ok(length @ 1..) = read else {
             return;
         };
-        let now = *way.borrow();
-        silent |= now == ProxyMode::Blackhole;
-        if let ProxyMode::Delay(time) = now {
-            tokio::time::sleep(time).await;
+        let current = *mode.borrow();
+        is_blackholed |= current == ProxyMode::Blackhole;
+        if let ProxyMode::Delay(delay) = current {
+            tokio::time::sleep(delay).await;
         }
-        if silent || now == lost {
+        if is_blackholed || current == drop_mode {
             continue;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment, callers, faults from a seed, and what it comes to.
+//! One run: starts a deployment and callers, injects the faults of a seed and reports violations.
 
 use {
     crate::{
@@ -6,7 +6,7 @@
         callers::{self, InstanceAddresses},
         faults::{Deployment, Fault, draw_fault, inject_fault, switch_lookup_service},
         guarantees,
-        history::{History, HistoryData, RequestOutcome},
+        history::{History, HistoryData, Outcome},
         instance::Instance,
         targets::{DATA_CENTRES, ProxiedTarget, REPORT_INTERVAL},
     },
@@ -26,239 +26,268 @@
     },
 };
 
-/// Targets of the divided service, and of the other one.
+/// Services and their numbers of targets; the first service is sharded.
 const TARGETS: [(&str, usize); 2] = [("boards", 5), ("crews", 3)];
-/// Callers.
-const CALLERS: u64 = 16;
-/// Time within which a deployment serves from its start.
-const READY: Duration = Duration::from_secs(20);
-/// Time within which every key is served after all faults are over.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// Period in which that is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// Distance between the keys that are looked at.
-const STRIDE: usize = 4001;
-/// Bounds of the time between two faults, in milliseconds.
-const BETWEEN: (u64, u64) = (200, 1800);
+/// Number of concurrent callers.
+const CALLER_COUNT: u64 = 16;
+/// Time after the start within which a deployment must serve all probed keys.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after the last fault within which all probed keys must be served.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval of the probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Distance between probed keys.
+const PROBE_KEY_STEP: usize = 4001;
+/// Range of the pause between two faults, in milliseconds.
+const FAULT_PAUSE_RANGE_MS: (u64, u64) = (200, 1800);
 
-/// What a run is like.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Program of an instance.
+    /// Path of the program of an instance.
     pub program_path: PathBuf,
     /// Directory for settings and logs.
     pub work_directory: PathBuf,
-    /// Seed of callers and faults.
+    /// Seed of the random choices of callers and faults.
     pub seed: u64,
-    /// Time for which faults come.
+    /// Time in which faults are started.
     pub fault_time: Duration,
     /// Number of instances.
     pub instance_count: usize,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// Promises that were broken, each with what shows it.
+    /// Violations of guarantees, each with its evidence.
     pub violations: Vec<String>,
-    /// Number of requests by what callers got.
+    /// Number of requests by status, `cut` (connection closed) or `silence` (timed out).
     pub outcomes: BTreeMap<String, usize>,
-    /// Faults in their order.
+    /// Faults in the order of their start.
     pub faults: Vec<Fault>,
 }
 
-/// Runs a deployment under the faults of a seed.
+/// Runs a deployment under the faults of a seed and checks the guarantees.
 ///
 /// # Errors
-/// Fails if processes, ports or files cannot be had, or the deployment does not begin to serve.
+/// Fails if a process, port or file is not available, or the deployment does not serve in time.
 pub async fn run_deployment(options: &RunOptions) -> Result<RunReport> {
-    let watch = Arc::new(TargetObserver::default());
-    let world = Arc::new(begin(options, &watch).await?);
-    let mut calls = JoinSet::new();
-    let doors = doors(&world).await;
-    for number in 0..CALLERS {
-        let (doors, history) = (doors.clone(), world.history.clone());
-        calls.spawn(callers::run_caller(number, options.seed, doors, history));
+    let observer = Arc::new(TargetObserver::default());
+    let deployment = Arc::new(start_deployment(options, &observer).await?);
+    let mut tasks = JoinSet::new();
+    let addresses = list_instance_addresses(&deployment).await;
+    for number in 0..CALLER_COUNT {
+        let (addresses, history) = (addresses.clone(), deployment.history.clone());
+        tasks.spawn(callers::run_caller(
+            number,
+            options.seed,
+            addresses,
+            history,
+        ));
     }
-    calls.spawn(refresh(world.clone()));
-    let faults = harm(options, &world).await;
-    let ended = ended(&world).await;
-    let unserved = recover(&doors).await;
-    calls.abort_all();
-    let record = world.history.snapshot();
-    let mut broken = watch.violations();
-    broken.extend(guarantees::find_violations(&record, &watch.arrivals()));
-    broken.extend(ended);
-    broken.extend(unserved);
+    tasks.spawn(report_cold_targets(deployment.clone()));
+    let faults = inject_faults(options, &deployment).await;
+    let exited = find_exited_instances(&deployment).await;
+    let unserved = check_recovery(&addresses).await;
+    tasks.abort_all();
+    let data = deployment.history.snapshot();
+    let mut violations = observer.violations();
+    violations.extend(guarantees::find_violations(&data, &observer.arrivals()));
+    violations.extend(exited);
+    violations.extend(unserved);
     Ok(RunReport {
-        violations: broken,
-        outcomes: ends(&record),
+        violations,
+        outcomes: count_outcomes(&data),
         faults,
     })
 }
 
-async fn begin(options: &RunOptions, watch: &Arc<TargetObserver>) -> Result<Deployment> {
+async fn start_deployment(
+    options: &RunOptions,
+    observer: &Arc<TargetObserver>,
+) -> Result<Deployment> {
     std::fs::create_dir_all(&options.work_directory)?;
     let store = FakeStore::start().await;
-    let mut places = Vec::new();
+    let mut targets = Vec::new();
     for (service, count) in TARGETS {
         for number in 0..count {
-            let place = ProxiedTarget::start(number, service, &store, watch).await?;
-            places.push(Mutex::new(place));
+            let target = ProxiedTarget::start(number, service, &store, observer).await?;
+            targets.push(Mutex::new(target));
         }
     }
     let mut instances = Vec::new();
     for number in 0..options.instance_count {
         let data_centre = DATA_CENTRES[number % DATA_CENTRES.len()];
-        let (name, to) = (format!("i{number}"), store.address());
-        let files = (
+        let (name, store_address) = (format!("i{number}"), store.address());
+        let paths = (
             options.program_path.as_path(),
             options.work_directory.as_path(),
         );
-        let instance = Instance::start(files.0, files.1, &name, data_centre, to).await?;
+        let instance = Instance::start(paths.0, paths.1, &name, data_centre, store_address).await?;
         instances.push(Mutex::new(instance));
     }
-    let world = Deployment {
+    let deployment = Deployment {
         store,
-        targets: places,
+        targets,
         instances,
         history: History::default(),
         withdrawal_locks: Default::default(),
-        config: Mutex::default(),
+        config_state: Mutex::default(),
     };
-    switch_lookup_service(&world).await;
-    let doors = doors(&world).await;
-    if let Some(unserved) = served(&doors, READY, "start").await {
-        bail!("the deployment does not begin to serve: {unserved}");
+    switch_lookup_service(&deployment).await;
+    let addresses = list_instance_addresses(&deployment).await;
+    if let Some(unserved) = wait_until_served(&addresses, START_TIMEOUT, "start").await {
+        bail!("the deployment does not serve within {START_TIMEOUT:?}: {unserved}");
     }
-    Ok(world)
+    Ok(deployment)
 }
 
-async fn doors(world: &Deployment) -> InstanceAddresses {
-    let mut doors = Vec::new();
-    for instance in &world.instances {
+async fn list_instance_addresses(deployment: &Deployment) -> InstanceAddresses {
+    let mut addresses = Vec::new();
+    for instance in &deployment.instances {
         let instance = instance.lock().await;
-        doors.push((instance.name.clone(), instance.caller_address));
+        addresses.push((instance.name.clone(), instance.caller_address));
     }
-    doors
+    addresses
 }
 
-/// Lets cold targets report for ever; one that a fault is being done to reports nothing.
-async fn refresh(world: Arc<Deployment>) {
+/// Publishes the reports of cold targets until aborted, except of targets with an active fault.
+async fn report_cold_targets(deployment: Arc<Deployment>) {
     loop {
         sleep(REPORT_INTERVAL).await;
-        for place in &world.targets {
-            if let Ok(place) = place.try_lock() {
-                place.report_if_cold(&world.store);
+        for target in &deployment.targets {
+            if let Ok(target) = target.try_lock() {
+                target.report_if_cold(&deployment.store);
             }
         }
     }
 }
 
-/// Does faults for a time, and waits until the last one is undone.
-async fn harm(options: &RunOptions, world: &Arc<Deployment>) -> Vec<Fault> {
+/// Injects faults for `fault_time`, and waits until the last one is undone.
+async fn inject_faults(options: &RunOptions, deployment: &Arc<Deployment>) -> Vec<Fault> {
     let mut random = StdRng::seed_from_u64(options.seed);
     let end = Instant::now() + options.fault_time;
-    let (mut strikes, mut done) = (JoinSet::new(), Vec::new());
+    let (mut active, mut faults) = (JoinSet::new(), Vec::new());
     while Instant::now() < end {
-        let pause = random.random_range(BETWEEN.0..BETWEEN.1);
+        let pause = random.random_range(FAULT_PAUSE_RANGE_MS.0..FAULT_PAUSE_RANGE_MS.1);
         sleep(Duration::from_millis(pause)).await;
-        let (fault, time) = draw_fault(&mut random, options.instance_count, world.targets.len());
-        done.push(fault);
-        strikes.spawn(inject_fault(world.clone(), fault, time));
+        let (fault, duration) = draw_fault(
+            &mut random,
+            options.instance_count,
+            deployment.targets.len(),
+        );
+        faults.push(fault);
+        active.spawn(inject_fault(deployment.clone(), fault, duration));
     }
-    while let Some(end) = strikes.join_next().await {
-        if let Err(error) = end {
-            eprintln!("a fault failed: {error}");
+    while let Some(result) = active.join_next().await {
+        if let Err(error) = result {
+            eprintln!("the task of a fault failed: {error}");
         }
     }
-    done
+    faults
 }
 
-/// Returns the instances that have ended by themselves.
-async fn ended(world: &Deployment) -> Vec<String> {
-    let mut ended = Vec::new();
-    for instance in &world.instances {
+/// Returns a violation for each instance that has exited without a signal from a fault.
+async fn find_exited_instances(deployment: &Deployment) -> Vec<String> {
+    let mut violations = Vec::new();
+    for instance in &deployment.instances {
         let mut instance = instance.lock().await;
         if !instance.is_running() {
             let code = instance.wait();
-            ended.push(format!("ENDED: {} with {code:?}", instance.name));
+            violations.push(format!(
+                "ENDED: {} exited with code {code:?}",
+                instance.name
+            ));
         }
     }
-    ended
+    violations
 }
 
-/// Returns the promise that was broken if keys are not served in time after the faults.
-async fn recover(doors: &InstanceAddresses) -> Option<String> {
-    let unserved = served(doors, RECOVERY, "end").await;
-    unserved.map(|what| format!("RECOVER: {what}"))
+/// Returns a violation if probed keys are not served in time after the faults.
+async fn check_recovery(addresses: &InstanceAddresses) -> Option<String> {
+    let unserved = wait_until_served(addresses, RECOVERY_TIMEOUT, "end").await;
+    unserved.map(|it| format!("RECOVER: {it}"))
 }
 
-/// Waits until every instance serves keys all over; returns what is not served in time.
-async fn served(doors: &InstanceAddresses, limit: Duration, when: &str) -> Option<String> {
-    let end = Instant::now() + limit;
-    let mut waiting: Vec<(usize, u64)> = (0..doors.len())
-        .flat_map(|door| (0..65_536u64).step_by(STRIDE).map(move |key| (door, key)))
+/// Waits until every instance serves all probed keys; after `limit`, describes the probes that
+/// still fail.
+async fn wait_until_served(
+    addresses: &InstanceAddresses,
+    limit: Duration,
+    id_prefix: &str,
+) -> Option<String> {
+    let deadline = Instant::now() + limit;
+    let mut pending: Vec<(usize, u64)> = (0..addresses.len())
+        .flat_map(|index| {
+            (0..65_536u64)
+                .step_by(PROBE_KEY_STEP)
+                .map(move |key| (index, key))
+        })
         .collect();
     for round in 0.. {
         let mut probes = JoinSet::new();
-        for (door, key) in waiting.drain(..) {
-            let address = doors[door].1;
-            let id = format!("{when}-{round}-{door}-{key}");
+        for (index, key) in pending.drain(..) {
+            let address = addresses[index].1;
+            let id = format!("{id_prefix}-{round}-{index}-{key}");
             probes.spawn(async move {
-                let end = callers::send_probe(address, &id, key).await;
-                (
-                    (door, key),
-                    end == Some(RequestOutcome::Response(200, true)),
-                )
+                let outcome = callers::send_probe(address, &id, key).await;
+                ((index, key), outcome == Some(Outcome::Response(200, true)))
             });
         }
-        let ends = probes.join_all().await;
-        waiting.extend(ends.iter().filter(|(_, ok)| !ok).map(|(probe, _)| *probe));
-        if waiting.is_empty() {
+        let results = probes.join_all().await;
+        pending.extend(
+            results
+                .iter()
+                .filter(|(_, ok)| !ok)
+                .map(|(probe, _)| *probe),
+        );
+        if pending.is_empty() {
             return None;
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             break;
         }
-        sleep(LOOK).await;
+        sleep(PROBE_INTERVAL).await;
     }
-    let (door, key) = waiting[0];
-    let name = &doors[door].0;
-    Some(format!("{} keys, {key} at {name} first", waiting.len()))
+    let (index, key) = pending[0];
+    let name = &addresses[index].0;
+    Some(format!(
+        "{} probes fail, the first for key {key} at {name}",
+        pending.len()
+    ))
 }
 
-fn ends(record: &HistoryData) -> BTreeMap<String, usize> {
-    let mut ends = BTreeMap::new();
-    for sent in &record.requests {
-        let word = match sent.outcome {
-            RequestOutcome::Response(status, _) => status.to_string(),
-            RequestOutcome::ConnectionClosed => "cut".to_owned(),
-            RequestOutcome::TimedOut => "silence".to_owned(),
+fn count_outcomes(data: &HistoryData) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
+    for request in &data.requests {
+        let label = match request.outcome {
+            Outcome::Response(status, _) => status.to_string(),
+            Outcome::ConnectionClosed => "cut".to_owned(),
+            Outcome::TimedOut => "silence".to_owned(),
         };
-        *ends.entry(word).or_default() += 1;
+        *counts.entry(label).or_default() += 1;
     }
-    ends
+    counts
 }
 
-/// Returns the program of an instance that was built beside this one.
+/// Returns the path of the `cowslipcross` program in this program's directory or its parent.
 ///
 /// # Errors
-/// Fails if it is not there.
+/// Fails if there is none.
 pub fn find_program() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let places = own.ancestors().skip(1).take(2).map(Path::to_path_buf);
-    let found = places
+    let directories = own.ancestors().skip(1).take(2).map(Path::to_path_buf);
+    let found = directories
         .map(|it| it.join("cowslipcross"))
         .find(|it| it.is_file());
     match found {
         Some(program) => Ok(program),
-        None => bail!("cowslipcross is not built"),
+        None => bail!("no program `cowslipcross` beside this one: build it first"),
     }
 }
 
-/// Returns the directory of a run's files.
-pub fn work_directory(seed: u64) -> PathBuf {
+/// Returns the path of the directory for the settings and logs of a run; it need not exist.
+pub fn work_directory_path(seed: u64) -> PathBuf {
     let name = format!("cowslip-soak-{}-{seed}", std::process::id());
     std::env::temp_dir().join(name)
 }
--- a/soak/src/targets.rs
+++ b/soak/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a run, each behind a proxy, which end, leave and come back.
+//! The targets of a run, each behind a proxy; faults crash, drain and restart them.
 
 use {
     crate::{
@@ -14,39 +14,39 @@
     tokio::time::Instant,
 };
 
-/// Time that a request takes at a target.
-const WORK: Duration = Duration::from_millis(30);
-/// Rates of the clocks that measure holds.
-const RATES: [f64; 3] = [1.0, 0.98, 1.01];
-/// Time for which a target that comes back is cold.
+/// Time that a target takes for a request.
+const PROCESSING_TIME: Duration = Duration::from_millis(30);
+/// Rates of the clocks by which targets measure grant TTLs; 1 is exact.
+const CLOCK_RATES: [f64; 3] = [1.0, 0.98, 1.01];
+/// Time for which a restarted target is cold.
 pub const COLD_TIME: Duration = Duration::from_secs(3);
-/// Period of the reports of a cold target.
+/// Interval of the reports of a cold target.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Data centres of targets.
 pub const DATA_CENTRES: [&str; 3] = ["west", "east", "north"];
 
-/// A target and the way to it.
+/// A target and the proxy in front of it.
 #[derive(Debug)]
 pub struct ProxiedTarget {
-    /// Id.
+    /// Target ID.
     pub id: String,
-    /// ProxyMode to it.
+    /// Proxy through which instances reach the target.
     pub proxy: Proxy,
     options: TargetOptions,
     target: Option<FakeTarget>,
-    since: Instant,
+    started_at: Instant,
 }
 
 impl ProxiedTarget {
-    /// Starts a target of a service.
+    /// Starts a target of a service; it is warm at its first start.
     ///
     /// # Errors
-    /// Fails if a port is taken.
+    /// Fails if a port is in use.
     pub async fn start(
         number: usize,
         service: &str,
         store: &FakeStore,
-        watch: &Arc<TargetObserver>,
+        observer: &Arc<TargetObserver>,
     ) -> Result<Self> {
         let proxy = Proxy::start(None).await?;
         let id = format!("{service}-{number}");
@@ -55,33 +55,33 @@
             service: service.into(),
             data_centre: DATA_CENTRES[number % DATA_CENTRES.len()].into(),
             sharded: service == "boards",
-            processing_time: WORK,
+            processing_time: PROCESSING_TIME,
             advertised_address: Some(proxy.address),
-            clock_rate: RATES[number % RATES.len()],
-            observer: Some(watch.clone()),
+            clock_rate: CLOCK_RATES[number % CLOCK_RATES.len()],
+            observer: Some(observer.clone()),
             ..TargetOptions::default()
         };
-        let mut place = Self {
+        let mut proxied_target = Self {
             id,
             proxy,
             options,
             target: None,
-            since: Instant::now(),
+            started_at: Instant::now(),
         };
-        place.restore(store).await;
-        place.options.cold_time = COLD_TIME;
-        Ok(place)
+        proxied_target.restore(store).await;
+        proxied_target.options.cold_time = COLD_TIME;
+        Ok(proxied_target)
     }
 
-    /// Starts the target anew, unless it runs.
+    /// Restores the proxy and the target's normal mode, and starts the target if it is not running.
     pub async fn restore(&mut self, store: &FakeStore) {
-        self.proxy.set_mode(ProxyMode::Forward);
+        self.proxy.change_mode(ProxyMode::Forward);
         if self.target.is_none() {
             self.options.incarnation += 1;
             let target = FakeTarget::start(self.options.clone()).await;
             self.proxy.set_upstream(Some(target.address()));
             self.target = Some(target);
-            self.since = Instant::now();
+            self.started_at = Instant::now();
         }
         if let Some(target) = &self.target {
             target.set_mode(TargetMode::Normal);
@@ -89,37 +89,37 @@
         }
     }
 
-    /// Reports anew for how long the target stays cold, as targets do again and again.
+    /// Publishes the remaining cold time again, as targets do at intervals; does nothing once warm.
     pub fn report_if_cold(&self, store: &FakeStore) {
-        let cold = self.since.elapsed() < self.options.cold_time + 2 * REPORT_INTERVAL;
-        if let Some(target) = self.target.as_ref().filter(|_| cold) {
+        let is_cold = self.started_at.elapsed() < self.options.cold_time + 2 * REPORT_INTERVAL;
+        if let Some(target) = self.target.as_ref().filter(|_| is_cold) {
             target.publish_report(store, "ready");
         }
     }
 
-    /// Ends the target at once; its report lapses later.
+    /// Stops the target at once; its report stays in the store.
     pub fn crash(&mut self) {
         self.proxy.set_upstream(None);
-        self.proxy.set_mode(ProxyMode::Reset);
+        self.proxy.change_mode(ProxyMode::Reset);
         self.target = None;
     }
 
-    /// Takes the target's report out of the store.
+    /// Removes the target's report from the store.
     pub fn remove_report(&self, store: &FakeStore) {
         store.remove("servers", &self.id);
     }
 
-    /// Lets the target report that it leaves.
+    /// Publishes that the target is draining.
     pub fn report_draining(&self, store: &FakeStore) {
         if let Some(target) = &self.target {
             target.publish_report(store, "draining");
         }
     }
 
-    /// Sets how the target answers.
-    pub fn set_mode(&self, mood: TargetMode) {
+    /// Sets the mode of the target, if it is running.
+    pub fn set_mode(&self, mode: TargetMode) {
         if let Some(target) = &self.target {
-            target.set_mode(mood);
+            target.set_mode(mode);
         }
     }
 }
