--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -94,7 +94,7 @@
         ProxyMode::DropToClient,
         ProxyMode::Blackhole,
     ][random.random_range(0..5)];
-    let affected = random.random_bool(0.6).then_some(instance);
+    let chosen = random.random_bool(0.6).then_some(instance);
     let store_mode = [
         store::StoreMode::Unavailable,
         store::StoreMode::DropResponses,
@@ -104,12 +104,12 @@
     ][random.random_range(0..5)];
     let target_mode = [
         target::TargetMode::CloseWithoutResponse,
-        target::TargetMode::DelayCommands(delay),
+        target::TargetMode::DelayGrants(delay),
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
         0 => Fault::SetStoreMode(store_mode),
-        1 | 2 => Fault::StoreLink(affected, proxy_mode),
+        1 | 2 => Fault::StoreLink(chosen, proxy_mode),
         3 | 4 => Fault::TargetLink(target, proxy_mode),
         5 => Fault::SetTargetMode(target, target_mode),
         6 => Fault::CrashTarget(target),
@@ -135,7 +135,7 @@
             deployment.store.set_mode(store::StoreMode::Normal);
             deployment.history.end_event(store_event);
         }
-        Fault::StoreLink(index, mode) => set_store_link(&deployment, index, mode, duration).await,
+        Fault::StoreLink(chosen, mode) => set_store_link(&deployment, chosen, mode, duration).await,
         Fault::TargetLink(index, mode) => {
             let proxied = deployment.targets[index].lock().await;
             let event = deployment
@@ -202,13 +202,13 @@
 
 async fn set_store_link(
     deployment: &Deployment,
-    affected: Option<usize>,
+    chosen: Option<usize>,
     mode: ProxyMode,
     duration: Duration,
 ) {
     let event = deployment.history.begin_event(EventKind::StoreFault);
     let all = 0..deployment.instances.len();
-    let indices = all.filter(|index| affected.is_none_or(|it| it == *index));
+    let indices = all.filter(|index| chosen.is_none_or(|it| it == *index));
     let indices: Vec<usize> = indices.collect();
     for index in &indices {
         deployment.instances[*index]
--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -124,13 +124,13 @@
         .events
         .iter()
         .filter_map(|event| match &event.subject {
-            EventKind::Withdrawal(data_centre) => {
-                let is_affected = |it: &Arrival| it.data_centre == *data_centre;
+            EventKind::Withdrawal(withdrawn) => {
+                let is_affected = |it: &Arrival| it.data_centre == *withdrawn;
                 let (late, elapsed_ms) =
                     find_late_request(history, arrivals, event, WITHDRAWAL_LIMIT, is_affected)?;
                 let request = &late.request_id;
                 Some(format!(
-                    "EVAC: {request} in {data_centre}, {elapsed_ms} ms after its withdrawal"
+                    "EVAC: {request} in {withdrawn}, {elapsed_ms} ms after its withdrawal"
                 ))
             }
             _ => None,
@@ -211,8 +211,8 @@
             own_requests.filter(|it| it.arrived_at >= from && it.arrived_at < from + COLD_TIME);
         let mut times: Vec<Instant> = cold_requests.map(|it| it.arrived_at).collect();
         times.sort_unstable();
-        let mut windows = times.windows(MAX_COLD_REQUESTS + 1);
-        let exceeded = windows.any(|it| it[MAX_COLD_REQUESTS] - it[0] < ONE_SECOND);
+        let mut spans = times.windows(MAX_COLD_REQUESTS + 1);
+        let exceeded = spans.any(|span| span[MAX_COLD_REQUESTS] - span[0] < ONE_SECOND);
         exceeded.then(|| {
             format!(
                 "FAILBACK: over {MAX_COLD_REQUESTS} requests in a second at cold target {target}"
