--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -48,8 +48,8 @@
         let Some((index, mut connection)) = connection else {
             continue;
         };
-        let (id, kind) = (format!("{number}-{count}"), random_kind(&mut random));
-        let request = build_request(kind, &id, random_key(&mut random));
+        let (id, kind) = (format!("{number}-{count}"), draw_kind(&mut random));
+        let request = build_request(kind, &id, draw_key(&mut random));
         let sent_at = Instant::now();
         let outcome = exchange(&mut connection, request, &id).await;
         if matches!(outcome, Outcome::Response(..)) {
@@ -79,7 +79,7 @@
     )
 }
 
-fn random_kind(random: &mut StdRng) -> RequestKind {
+fn draw_kind(random: &mut StdRng) -> RequestKind {
     match random.random_range(0..10) {
         0..5 => RequestKind::Lookup,
         5..8 => RequestKind::Removal,
@@ -87,7 +87,7 @@
     }
 }
 
-fn random_key(random: &mut StdRng) -> u64 {
+fn draw_key(random: &mut StdRng) -> u64 {
     match random.random_bool(HOT_KEYS.0) {
         true => 20_000 + random.random_range(0..HOT_KEYS.1),
         false => random.random_range(0..65_536),
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -23,9 +23,9 @@
 
 /// Time within which a process exits after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_millis(6500);
-/// Interval of the checks whether a process has exited.
+/// Interval at which a stopping process is checked for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which the report of a crashed target is removed.
+/// Time after a crash at which the report of the target expires in the store.
 const REPORT_EXPIRY: Duration = Duration::from_millis(1500);
 /// Time for which a draining target keeps serving.
 const DRAIN_TIME: Duration = Duration::from_millis(3500);
@@ -33,7 +33,7 @@
 /// A deployment under test.
 #[derive(Debug)]
 pub struct Deployment {
-    /// Store of all instances.
+    /// The store, which all instances use.
     pub store: FakeStore,
     /// Targets; a fault of a target holds its lock.
     pub targets: Vec<Mutex<ProxiedTarget>>,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -94,12 +94,12 @@
 impl History {
     /// Adds a request that has ended.
     pub fn add_request(&self, request: RequestRecord) {
-        self.data().requests.push(request);
+        self.lock_data().requests.push(request);
     }
 
     /// Records the beginning of an event; returns its index for [`History::end_event`].
     pub fn begin_event(&self, subject: EventKind) -> usize {
-        let mut data = self.data();
+        let mut data = self.lock_data();
         data.events.push(Event {
             subject,
             started_at: Instant::now(),
@@ -110,17 +110,17 @@
 
     /// Records the end of the event with this index.
     pub fn end_event(&self, index: usize) {
-        if let Some(event) = self.data().events.get_mut(index) {
+        if let Some(event) = self.lock_data().events.get_mut(index) {
             event.ended_at = Some(Instant::now());
         }
     }
 
     /// Returns a copy of the data so far.
     pub fn snapshot(&self) -> HistoryData {
-        self.data().clone()
+        self.lock_data().clone()
     }
 
-    fn data(&self) -> MutexGuard<'_, HistoryData> {
+    fn lock_data(&self) -> MutexGuard<'_, HistoryData> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -17,7 +17,7 @@
 Exit codes: 0 all guarantees held, 1 one was violated or a run failed, 2 usage.";
 
 fn main() -> Result<ExitCode> {
-    let matches = command().get_matches();
+    let matches = build_command().get_matches();
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let program_path = match matches.get_one::<PathBuf>("program") {
         Some(path) => path.clone(),
@@ -74,7 +74,7 @@
     }
 }
 
-fn command() -> Command {
+fn build_command() -> Command {
     let number = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -34,7 +34,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time after the last fault within which all probed keys must be served.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Interval of the probes.
+/// Pause between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Distance between probed keys.
 const PROBE_KEY_STEP: usize = 4001;
@@ -44,7 +44,7 @@
 /// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Path of the program of an instance.
+    /// Path of the `cowslipcross` program.
     pub program_path: PathBuf,
     /// Directory for settings and logs.
     pub work_directory: PathBuf,
--- a/soak/src/targets.rs
+++ b/soak/src/targets.rs
@@ -20,7 +20,7 @@
 const CLOCK_RATES: [f64; 3] = [1.0, 0.98, 1.01];
 /// Time for which a restarted target is cold.
 pub const COLD_TIME: Duration = Duration::from_secs(3);
-/// Interval of the reports of a cold target.
+/// Interval at which a cold target publishes its report.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Data centres of targets.
 pub const DATA_CENTRES: [&str; 3] = ["west", "east", "north"];
@@ -61,16 +61,16 @@
             observer: Some(observer.clone()),
             ..TargetOptions::default()
         };
-        let mut proxied_target = Self {
+        let mut proxied = Self {
             id,
             proxy,
             options,
             target: None,
             started_at: Instant::now(),
         };
-        proxied_target.restore(store).await;
-        proxied_target.options.cold_time = COLD_TIME;
-        Ok(proxied_target)
+        proxied.restore(store).await;
+        proxied.options.cold_time = COLD_TIME;
+        Ok(proxied)
     }
 
     /// Restores the proxy and the target's normal mode, and starts the target if it is not running.
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -14,12 +14,7 @@
     start + Duration::from_millis(millis)
 }
 
-fn request_record(
-    start: Instant,
-    sent_ms: u64,
-    kind: RequestKind,
-    outcome: Outcome,
-) -> RequestRecord {
+fn new_request(start: Instant, sent_ms: u64, kind: RequestKind, outcome: Outcome) -> RequestRecord {
     RequestRecord {
         id: "r1".into(),
         kind,
@@ -30,7 +25,7 @@
     }
 }
 
-fn arrival(start: Instant, arrived_ms: u64, was_executed: bool) -> Arrival {
+fn new_arrival(start: Instant, arrived_ms: u64, was_executed: bool) -> Arrival {
     Arrival {
         request_id: "r1".into(),
         target_id: "boards-0".into(),
@@ -41,7 +36,7 @@
     }
 }
 
-fn event(start: Instant, start_ms: u64, end_ms: Option<u64>, subject: EventKind) -> Event {
+fn new_event(start: Instant, start_ms: u64, end_ms: Option<u64>, subject: EventKind) -> Event {
     Event {
         subject,
         started_at: millis_after(start, start_ms),
@@ -50,7 +45,11 @@
 }
 
 /// Returns the prefixes of the violations that the checks report.
-fn violated(requests: Vec<RequestRecord>, events: Vec<Event>, arrivals: &[Arrival]) -> Vec<String> {
+fn violation_prefixes(
+    requests: Vec<RequestRecord>,
+    events: Vec<Event>,
+    arrivals: &[Arrival],
+) -> Vec<String> {
     let lines = find_violations(&HistoryData { requests, events }, arrivals);
     let prefix = |line: String| line.split(':').next().unwrap_or_default().to_owned();
     lines.into_iter().map(prefix).collect()
@@ -59,35 +58,35 @@
 #[test]
 fn repeated_refused_mixed_and_lost_requests_are_reported() {
     let start = Instant::now();
-    let ran = [arrival(start, 10, true)];
-    let twice = [arrival(start, 10, true), arrival(start, 20, true)];
-    let one_request = |kind, end| vec![request_record(start, 0, kind, end)];
+    let ran = [new_arrival(start, 10, true)];
+    let twice = [new_arrival(start, 10, true), new_arrival(start, 20, true)];
+    let one_request = |kind, end| vec![new_request(start, 0, kind, end)];
     let ok = Outcome::Response(200, true);
     assert_eq!(
-        violated(one_request(RequestKind::Removal, ok), vec![], &twice),
+        violation_prefixes(one_request(RequestKind::Removal, ok), vec![], &twice),
         ["TWICE"]
     );
-    assert!(violated(one_request(RequestKind::Lookup, ok), vec![], &twice).is_empty());
+    assert!(violation_prefixes(one_request(RequestKind::Lookup, ok), vec![], &twice).is_empty());
     let refused = Outcome::Response(503, false);
     assert_eq!(
-        violated(one_request(RequestKind::Removal, refused), vec![], &ran),
+        violation_prefixes(one_request(RequestKind::Removal, refused), vec![], &ran),
         ["REFUSED"]
     );
     assert!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, refused),
             vec![],
-            &[arrival(start, 10, false)]
+            &[new_arrival(start, 10, false)]
         )
         .is_empty()
     );
     let mixed = Outcome::Response(200, false);
     assert_eq!(
-        violated(one_request(RequestKind::Booking, mixed), vec![], &ran),
+        violation_prefixes(one_request(RequestKind::Booking, mixed), vec![], &ran),
         ["MIXED"]
     );
     assert_eq!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, Outcome::ConnectionClosed),
             vec![],
             &ran
@@ -97,7 +96,7 @@
     // Not lost: sent just before its connection closed, and reached no target. Lost: sent over
     // 200 ms before the close, or reached a target, even if it was not run there.
     assert!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, Outcome::ConnectionClosed),
             vec![],
             &[]
@@ -106,30 +105,30 @@
     );
     let long = RequestRecord {
         ended_at: millis_after(start, 201),
-        ..request_record(start, 0, RequestKind::Removal, Outcome::ConnectionClosed)
+        ..new_request(start, 0, RequestKind::Removal, Outcome::ConnectionClosed)
     };
-    assert_eq!(violated(vec![long], vec![], &[]), ["LOST"]);
-    let not_executed = [arrival(start, 10, false)];
+    assert_eq!(violation_prefixes(vec![long], vec![], &[]), ["LOST"]);
+    let not_executed = [new_arrival(start, 10, false)];
     assert_eq!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, Outcome::ConnectionClosed),
             vec![],
             &not_executed
         ),
         ["LOST"]
     );
-    let stopped = event(start, 0, Some(500), EventKind::InstanceStop("i0".into()));
+    let stopped = new_event(start, 0, Some(500), EventKind::InstanceStop("i0".into()));
     assert_eq!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, Outcome::ConnectionClosed),
             vec![stopped],
             &ran
         ),
         ["LOST"]
     );
-    let killed = event(start, 0, Some(500), EventKind::InstanceKill("i0".into()));
+    let killed = new_event(start, 0, Some(500), EventKind::InstanceKill("i0".into()));
     assert!(
-        violated(
+        violation_prefixes(
             one_request(RequestKind::Removal, Outcome::ConnectionClosed),
             vec![killed],
             &ran
@@ -141,21 +140,31 @@
 #[test]
 fn requests_to_draining_and_withdrawn_targets_are_reported() {
     let start = millis_after(Instant::now(), 10_000);
-    let leave = event(start, 0, None, EventKind::TargetDrain("boards-0".into()));
-    let late = [arrival(start, 2400, true)];
-    assert_eq!(violated(vec![], vec![leave.clone()], &late), ["DRAIN"]);
-    assert!(violated(vec![], vec![leave.clone()], &[arrival(start, 2200, true)]).is_empty());
-    let store = event(start, 100, Some(300), EventKind::StoreFault);
-    assert!(violated(vec![], vec![leave, store], &late).is_empty());
-    let withdrawn = event(start, 0, None, EventKind::Withdrawal("west".into()));
-    let late = [arrival(start, 5400, true)];
-    assert_eq!(violated(vec![], vec![withdrawn], &late), ["EVAC"]);
+    let leave = new_event(start, 0, None, EventKind::TargetDrain("boards-0".into()));
+    let late = [new_arrival(start, 2400, true)];
+    assert_eq!(
+        violation_prefixes(vec![], vec![leave.clone()], &late),
+        ["DRAIN"]
+    );
+    assert!(
+        violation_prefixes(
+            vec![],
+            vec![leave.clone()],
+            &[new_arrival(start, 2200, true)]
+        )
+        .is_empty()
+    );
+    let store = new_event(start, 100, Some(300), EventKind::StoreFault);
+    assert!(violation_prefixes(vec![], vec![leave, store], &late).is_empty());
+    let withdrawn = new_event(start, 0, None, EventKind::Withdrawal("west".into()));
+    let late = [new_arrival(start, 5400, true)];
+    assert_eq!(violation_prefixes(vec![], vec![withdrawn], &late), ["EVAC"]);
 }
 
 #[test]
 fn overload_of_a_cold_target_is_reported() {
     let start = millis_after(Instant::now(), 10_000);
-    let cold = vec![event(
+    let cold = vec![new_event(
         start,
         0,
         Some(1),
@@ -163,38 +172,41 @@
     )];
     let burst = |from: u64, count: u64, interval_ms: u64| -> Vec<Arrival> {
         let times = (0..count).map(|it| from + it * interval_ms);
-        times.map(|at| arrival(start, at, true)).collect()
+        times.map(|at| new_arrival(start, at, true)).collect()
     };
     let dense = burst(1500, 10, 100);
-    assert_eq!(violated(vec![], cold.clone(), &dense), ["FAILBACK"]);
+    assert_eq!(
+        violation_prefixes(vec![], cold.clone(), &dense),
+        ["FAILBACK"]
+    );
     // Nine requests a second are allowed for any time, and more at a warm target.
-    assert!(violated(vec![], cold.clone(), &burst(0, 27, 112)).is_empty());
-    assert!(violated(vec![], cold, &burst(3000, 30, 10)).is_empty());
+    assert!(violation_prefixes(vec![], cold.clone(), &burst(0, 27, 112)).is_empty());
+    assert!(violation_prefixes(vec![], cold, &burst(3000, 30, 10)).is_empty());
 }
 
 #[test]
 fn late_configuration_change_is_reported() {
     let start = millis_after(Instant::now(), 10_000);
-    let events = vec![event(
+    let events = vec![new_event(
         start,
         0,
         None,
         EventKind::LookupService("crews".into()),
     )];
     let lookup = |at| {
-        vec![request_record(
+        vec![new_request(
             start,
             at,
             RequestKind::Lookup,
             Outcome::Response(200, true),
         )]
     };
-    let ran = |at| [arrival(start, at, true)];
+    let ran = |at| [new_arrival(start, at, true)];
     assert_eq!(
-        violated(lookup(2400), events.clone(), &ran(2410)),
+        violation_prefixes(lookup(2400), events.clone(), &ran(2410)),
         ["CONFIG"]
     );
-    assert!(violated(lookup(1900), events, &ran(1910)).is_empty());
+    assert!(violation_prefixes(lookup(1900), events, &ran(1910)).is_empty());
 }
 
 #[test]
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_faults() {
+async fn guarantees_hold_under_faults() {
     check_guarantees(SHORT_RUN.0, SHORT_RUN.1).await;
 }
 
