--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -17,11 +17,11 @@
 
 /// Deadline that each request carries.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(3000);
-/// Time after the deadline at which a caller gives up its connection; also the connect timeout.
-const DEADLINE_GRACE: Duration = Duration::from_millis(1000);
-/// Range of the pause between two requests of a caller, in milliseconds.
+/// Time limit of a connect, and of a response after the deadline of its request.
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Shortest and longest pause between two requests of a caller, in milliseconds.
 const PAUSE_RANGE_MS: (u64, u64) = (30, 250);
-/// Fraction of the requests that use a hot key, and the number of hot keys.
+/// Fraction of the requests that use a hot key, and number of hot keys, which begin at 20000.
 const HOT_KEYS: (f64, u64) = (0.3, 8);
 
 /// Names of the instances and their addresses for callers.
@@ -29,7 +29,8 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Sends requests to random instances and records their outcomes until the future is dropped.
+/// Sends requests to random instances and records their outcomes until the future is dropped; each
+/// caller draws a sequence of its own from the seed.
 pub async fn run_caller(number: u64, seed: u64, instances: InstanceAddresses, history: History) {
     let mut random = StdRng::seed_from_u64(seed ^ (number << 32));
     let mut idle: Option<(usize, Connection)> = None;
@@ -66,7 +67,8 @@
     }
 }
 
-/// Sends one request to an instance; returns its outcome, or `None` if the connect failed.
+/// Sends one removal, which goes to the owner of the key, through an instance; returns its outcome,
+/// or `None` if the connect failed.
 pub async fn send_probe(address: SocketAddr, id: &str, key: u64) -> Option<Outcome> {
     let (_, mut connection) = open_connection(0, &[(String::new(), address)]).await?;
     Some(
@@ -111,14 +113,15 @@
         .expect("a valid request")
 }
 
+/// Connects to the instance with this index; returns the index, too.
 async fn open_connection(
     index: usize,
     instances: &[(String, SocketAddr)],
 ) -> Option<(usize, Connection)> {
     let connecting = TcpStream::connect(instances[index].1);
-    let stream = timeout(DEADLINE_GRACE, connecting).await.ok()?.ok()?;
+    let stream = timeout(CONNECTION_TIMEOUT, connecting).await.ok()?.ok()?;
     let (connection, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // `connection` reports the errors that are dropped here.
+    // The sending half, `connection`, reports errors of the connection, too.
     tokio::spawn(async move { drop(driver.await) });
     Some((index, connection))
 }
@@ -132,7 +135,7 @@
         let body = response.into_body().collect().await?.to_bytes();
         Ok::<_, hyper::Error>(Outcome::Response(status, body == id.as_bytes()))
     };
-    match timeout(REQUEST_DEADLINE + DEADLINE_GRACE, pending).await {
+    match timeout(REQUEST_DEADLINE + CONNECTION_TIMEOUT, pending).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(_)) => Outcome::ConnectionClosed,
         Err(_) => Outcome::TimedOut,
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -25,7 +25,7 @@
 const STOP_TIMEOUT: Duration = Duration::from_millis(6500);
 /// Interval at which a stopping process is checked for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after a crash at which the report of the target expires in the store.
+/// Time after a crash at which the report of the target is removed, as if it had expired.
 const REPORT_EXPIRY: Duration = Duration::from_millis(1500);
 /// Time for which a draining target keeps serving.
 const DRAIN_TIME: Duration = Duration::from_millis(3500);
@@ -44,7 +44,8 @@
     /// One lock a data centre: its withdrawals run one after another, as the end of one would
     /// restore the data centre during the next.
     pub withdrawal_locks: [Mutex<()>; DATA_CENTRES.len()],
-    /// Next version of the configuration, and the history index of the current one's event.
+    /// Number of the next configuration, and the index of the current configuration's event in the
+    /// history.
     pub config_state: Mutex<(u32, Option<usize>)>,
 }
 
@@ -52,13 +53,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The store handles all calls in this mode.
-    SetStoreMode(store::StoreMode),
+    Store(store::StoreMode),
     /// The proxy between the store and one instance (`None`: all instances) is in this mode.
-    StoreLink(Option<usize>, ProxyMode),
+    StoreProxy(Option<usize>, ProxyMode),
     /// The proxy in front of a target is in this mode.
-    TargetLink(usize, ProxyMode),
+    TargetProxy(usize, ProxyMode),
     /// A target handles requests and commands in this mode.
-    SetTargetMode(usize, target::TargetMode),
+    Target(usize, target::TargetMode),
     /// A target crashes and restarts.
     CrashTarget(usize),
     /// A target drains, stops and restarts.
@@ -80,12 +81,16 @@
 }
 
 /// Draws a fault and its duration.
-pub fn draw_fault(random: &mut StdRng, instances: usize, targets: usize) -> (Fault, Duration) {
+pub fn draw_fault(
+    random: &mut StdRng,
+    instance_count: usize,
+    target_count: usize,
+) -> (Fault, Duration) {
     let duration = Duration::from_millis(random.random_range(300..4000));
     let delay = Duration::from_millis(random.random_range(200..2500));
     let (instance, target) = (
-        random.random_range(0..instances),
-        random.random_range(0..targets),
+        random.random_range(0..instance_count),
+        random.random_range(0..target_count),
     );
     let proxy_mode = [
         ProxyMode::Delay(Duration::from_millis(random.random_range(20..400))),
@@ -94,7 +99,7 @@
         ProxyMode::DropToClient,
         ProxyMode::Blackhole,
     ][random.random_range(0..5)];
-    let chosen = random.random_bool(0.6).then_some(instance);
+    let only = random.random_bool(0.6).then_some(instance);
     let store_mode = [
         store::StoreMode::Unavailable,
         store::StoreMode::DropResponses,
@@ -108,10 +113,10 @@
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
-        0 => Fault::SetStoreMode(store_mode),
-        1 | 2 => Fault::StoreLink(chosen, proxy_mode),
-        3 | 4 => Fault::TargetLink(target, proxy_mode),
-        5 => Fault::SetTargetMode(target, target_mode),
+        0 => Fault::Store(store_mode),
+        1 | 2 => Fault::StoreProxy(only, proxy_mode),
+        3 | 4 => Fault::TargetProxy(target, proxy_mode),
+        5 => Fault::Target(target, target_mode),
         6 => Fault::CrashTarget(target),
         7 => Fault::DrainTarget(target),
         8 => Fault::PauseInstance(instance),
@@ -128,15 +133,15 @@
 /// Injects a fault and undoes it; faults that end by themselves ignore `duration`.
 pub async fn inject_fault(deployment: Arc<Deployment>, fault: Fault, duration: Duration) {
     match fault {
-        Fault::SetStoreMode(store_mode) => {
+        Fault::Store(store_mode) => {
             let store_event = deployment.history.begin_event(EventKind::StoreFault);
             deployment.store.set_mode(store_mode);
             sleep(duration).await;
             deployment.store.set_mode(store::StoreMode::Normal);
             deployment.history.end_event(store_event);
         }
-        Fault::StoreLink(chosen, mode) => set_store_link(&deployment, chosen, mode, duration).await,
-        Fault::TargetLink(index, mode) => {
+        Fault::StoreProxy(only, mode) => set_store_proxy(&deployment, only, mode, duration).await,
+        Fault::TargetProxy(index, mode) => {
             let proxied = deployment.targets[index].lock().await;
             let event = deployment
                 .history
@@ -146,7 +151,7 @@
             proxied.proxy.change_mode(ProxyMode::Forward);
             deployment.history.end_event(event);
         }
-        Fault::SetTargetMode(index, target_mode) => {
+        Fault::Target(index, target_mode) => {
             let proxied = deployment.targets[index].lock().await;
             let event = deployment
                 .history
@@ -185,7 +190,7 @@
             instance.wait_for_signal_handlers().await;
             instance.signal(Signal::SIGHUP);
         }
-        Fault::SwitchConfig => switch_lookup_service(&deployment).await,
+        Fault::SwitchConfig => publish_next_config(&deployment).await,
         Fault::WithdrawDataCentre(index) => {
             let _guard = deployment.withdrawal_locks[index].lock().await;
             let event = deployment
@@ -194,21 +199,22 @@
             let key = format!("evacuate/{}", DATA_CENTRES[index]);
             deployment.store.put("op", &key, b"{}");
             sleep(2 * duration + Duration::from_secs(4)).await;
+            // Ended first, as requests after the restoration are allowed.
             deployment.history.end_event(event);
             deployment.store.remove("op", &key);
         }
     }
 }
 
-async fn set_store_link(
+async fn set_store_proxy(
     deployment: &Deployment,
-    chosen: Option<usize>,
+    only: Option<usize>,
     mode: ProxyMode,
     duration: Duration,
 ) {
     let event = deployment.history.begin_event(EventKind::StoreFault);
     let all = 0..deployment.instances.len();
-    let indices = all.filter(|index| chosen.is_none_or(|it| it == *index));
+    let indices = all.filter(|index| only.is_none_or(|it| it == *index));
     let indices: Vec<usize> = indices.collect();
     for index in &indices {
         deployment.instances[*index]
@@ -316,8 +322,8 @@
     }
 }
 
-/// Publishes a configuration that sends lookups to the other service.
-pub async fn switch_lookup_service(deployment: &Deployment) {
+/// Publishes the next configuration, which sends lookups to `boards` and `crews` in turn.
+pub async fn publish_next_config(deployment: &Deployment) {
     let mut current = deployment.config_state.lock().await;
     let (version, previous_event) = *current;
     let service = if version % 2 == 0 { "boards" } else { "crews" };
--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -13,20 +13,21 @@
     tokio::time::Instant,
 };
 
-/// Time after a target reports that it is draining from which it gets no new requests.
+/// Longest time for which a target still gets requests after it has reported that it is draining.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2000);
-/// Time after the withdrawal of a data centre from which it gets no requests.
+/// Longest time for which a data centre still gets requests after its withdrawal.
 const WITHDRAWAL_LIMIT: Duration = Duration::from_millis(5000);
-/// Time after which all instances apply a new configuration.
+/// Longest time until all instances apply a new configuration.
 const CONFIG_LIMIT: Duration = Duration::from_millis(2000);
-/// Time after the sending of a request from which it counts as read when its connection closes.
+/// An instance may not have read a request whose connection closes within this time.
 const READ_LIMIT: Duration = Duration::from_millis(200);
-/// Highest number of requests a second to a cold target: 1.5 times its rate of 3.1, plus 5.
+/// Highest number of requests a second to a cold target: 1.5 times its rate of 3.1, plus 5,
+/// rounded down.
 const MAX_COLD_REQUESTS: usize = 9;
 const ONE_SECOND: Duration = Duration::from_secs(1);
 /// Allowance for scheduling delays, as all processes share the cores of one machine.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(300);
-/// Time after a disturbance in which the limits above are not checked.
+/// Time after a fault of the store or of an instance in which the time limits are not checked.
 const RECOVERY_TIME: Duration = Duration::from_millis(3000);
 
 /// Returns the violations of the guarantees, each with its evidence.
@@ -35,8 +36,8 @@
     for arrival in arrivals.iter().filter(|it| it.was_executed) {
         *executions.entry(&arrival.request_id).or_default() += 1;
     }
-    let reached: BTreeSet<&str> = arrivals.iter().map(|it| it.request_id.as_str()).collect();
-    let mut violations = check_requests(history, &executions, &reached);
+    let arrived_ids: BTreeSet<&str> = arrivals.iter().map(|it| it.request_id.as_str()).collect();
+    let mut violations = check_requests(history, &executions, &arrived_ids);
     violations.extend(check_draining(history, arrivals));
     violations.extend(check_withdrawal(history, arrivals));
     violations.extend(check_config(history, arrivals));
@@ -44,12 +45,12 @@
     violations
 }
 
-/// Checks that requests that are not idempotent run at most once, that rejected requests did not
-/// run, that each response belongs to its request, and that no request is lost.
+/// Checks that requests that are not idempotent run at most once, that rejected requests (4xx or
+/// 503) did not run, that each response belongs to its request, and that no request is lost.
 fn check_requests(
     history: &HistoryData,
     executions: &BTreeMap<&str, u32>,
-    reached: &BTreeSet<&str>,
+    arrived_ids: &BTreeSet<&str>,
 ) -> Vec<String> {
     let mut violations = Vec::new();
     for request in &history.requests {
@@ -71,7 +72,7 @@
             }
             Outcome::Response(200, false) => violations.push(format!("MIXED: {evidence}")),
             Outcome::ConnectionClosed
-                if !was_disturbed(
+                if !was_killed_or_paused(
                     history,
                     &request.instance,
                     request.sent_at,
@@ -80,7 +81,7 @@
             {
                 // A request that arrives while its connection closes was not read, thus not lost.
                 let was_read = request.ended_at - request.sent_at > READ_LIMIT
-                    || reached.contains(request.id.as_str());
+                    || arrived_ids.contains(request.id.as_str());
                 violations.extend(was_read.then(|| format!("LOST: {evidence}")));
             }
             _ => {}
@@ -90,10 +91,15 @@
 }
 
 /// Returns whether an instance was killed or paused within a time span.
-fn was_disturbed(history: &HistoryData, instance: &str, from: Instant, until: Instant) -> bool {
+fn was_killed_or_paused(
+    history: &HistoryData,
+    instance: &str,
+    from: Instant,
+    until: Instant,
+) -> bool {
     history.events.iter().any(|event| {
-        let is_own = matches!(&event.subject, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
-        is_own && overlaps(event, from, until)
+        let is_concerned = matches!(&event.event_kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
+        is_concerned && overlaps(event, from, until)
     })
 }
 
@@ -102,7 +108,7 @@
     let late = history
         .events
         .iter()
-        .filter_map(|event| match &event.subject {
+        .filter_map(|event| match &event.event_kind {
             EventKind::TargetDrain(target) => {
                 let (late, elapsed_ms) =
                     find_late_request(history, arrivals, event, DRAIN_LIMIT, |it| {
@@ -123,7 +129,7 @@
     let late = history
         .events
         .iter()
-        .filter_map(|event| match &event.subject {
+        .filter_map(|event| match &event.event_kind {
             EventKind::Withdrawal(withdrawn) => {
                 let is_affected = |it: &Arrival| it.data_centre == *withdrawn;
                 let (late, elapsed_ms) =
@@ -140,7 +146,7 @@
 
 /// Returns the first matching request that ran later than `limit` after the beginning of an event
 /// and before its end, with the milliseconds since that beginning; `None` if there is none, or if
-/// the store or an instance was disturbed meanwhile.
+/// a fault of the store or of an instance overlaps.
 fn find_late_request<'a>(
     history: &HistoryData,
     arrivals: &'a [Arrival],
@@ -154,8 +160,8 @@
             it.arrived_at > deadline && event.ended_at.is_none_or(|end| it.arrived_at < end);
         is_affected(it) && it.was_executed && is_inside
     })?;
-    let is_calm = was_undisturbed(history, event.started_at, late.arrived_at);
-    is_calm.then(|| (late, (late.arrived_at - event.started_at).as_millis()))
+    let is_undisrupted = had_no_disruption(history, event.started_at, late.arrived_at);
+    is_undisrupted.then(|| (late, (late.arrived_at - event.started_at).as_millis()))
 }
 
 /// Checks that all instances apply a new configuration in time and none returns to an older one.
@@ -167,7 +173,7 @@
         .map(|it| (it.request_id.as_str(), it))
         .collect();
     for event in &history.events {
-        let EventKind::LookupService(service) = &event.subject else {
+        let EventKind::LookupService(service) = &event.event_kind else {
             continue;
         };
         for request in history
@@ -175,13 +181,13 @@
             .iter()
             .filter(|it| it.kind == RequestKind::Lookup)
         {
-            let is_in_force = request.sent_at > event.started_at + CONFIG_LIMIT + SCHEDULING_SLACK
+            let is_checked = request.sent_at > event.started_at + CONFIG_LIMIT + SCHEDULING_SLACK
                 && event.ended_at.is_none_or(|until| request.ended_at < until);
-            let Some(arrival) = executed.get(request.id.as_str()).filter(|_| is_in_force) else {
+            let Some(arrival) = executed.get(request.id.as_str()).filter(|_| is_checked) else {
                 continue;
             };
             if arrival.service != *service
-                && was_undisturbed(history, event.started_at, request.sent_at)
+                && had_no_disruption(history, event.started_at, request.sent_at)
             {
                 violations.push(format!(
                     "CONFIG: {} went to service {}",
@@ -194,12 +200,12 @@
     violations
 }
 
-/// Checks that a cold target gets few requests, also during other faults.
+/// Checks that a cold target gets few requests, also during faults that exempt from time limits.
 fn check_cold_targets(history: &HistoryData, arrivals: &[Arrival]) -> Vec<String> {
     let cold_starts = history
         .events
         .iter()
-        .filter_map(|event| match &event.subject {
+        .filter_map(|event| match &event.event_kind {
             EventKind::ColdStart(target) => Some((target, event.started_at)),
             _ => None,
         });
@@ -222,18 +228,18 @@
     violations.collect()
 }
 
-/// Returns whether neither the store nor an instance was disturbed within a time span or in the
+/// Returns whether the store and all instances were without faults in a time span and in the
 /// recovery time before it.
-fn was_undisturbed(history: &HistoryData, from: Instant, until: Instant) -> bool {
+fn had_no_disruption(history: &HistoryData, from: Instant, until: Instant) -> bool {
     !history.events.iter().any(|event| {
-        let is_disruptive = matches!(
-            event.subject,
+        let is_disruption = matches!(
+            event.event_kind,
             EventKind::StoreFault
                 | EventKind::InstancePause(_)
                 | EventKind::InstanceKill(_)
                 | EventKind::InstanceStop(_)
         );
-        is_disruptive && overlaps(event, from - RECOVERY_TIME, until)
+        is_disruption && overlaps(event, from - RECOVERY_TIME, until)
     })
 }
 
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub struct Event {
     /// Kind of the event, and what it concerns.
-    pub subject: EventKind,
+    pub event_kind: EventKind,
     /// Time at which it began.
     pub started_at: Instant,
     /// Time at which it ended; `None` while it lasts.
@@ -98,10 +98,10 @@
     }
 
     /// Records the beginning of an event; returns its index for [`History::end_event`].
-    pub fn begin_event(&self, subject: EventKind) -> usize {
+    pub fn begin_event(&self, event_kind: EventKind) -> usize {
         let mut data = self.lock_data();
         data.events.push(Event {
-            subject,
+            event_kind,
             started_at: Instant::now(),
             ended_at: None,
         });
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -17,8 +17,8 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// Time after the start of a process within which it installs its signal handlers, on a busy
-/// machine, too.
+/// Time after the start of a process within which it installs its signal handlers, even on a busy
+/// machine.
 const SIGNAL_HANDLER_DELAY: Duration = Duration::from_millis(300);
 
 /// An instance and the proxy between it and the store; dropping it kills the process.
@@ -117,7 +117,7 @@
         sleep_until(self.started_at + SIGNAL_HANDLER_DELAY).await;
     }
 
-    /// Sends a signal to the process, if it is running.
+    /// Sends a signal to the process, if it is running; otherwise its ID may be another process's.
     pub fn signal(&mut self, signal: Signal) {
         if self.is_running()
             && let Some(child) = &self.child
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -14,7 +14,7 @@
   cowslip-soak --seed 7
   cowslip-soak --seed 100 --seeds 50 --seconds 30
 
-Exit codes: 0 all guarantees held, 1 one was violated or a run failed, 2 usage.";
+Exit codes: 0 all guarantees held, 1 a guarantee was violated or a run failed, 2 invalid usage.";
 
 fn main() -> Result<ExitCode> {
     let matches = build_command().get_matches();
@@ -94,7 +94,7 @@
         .arg(number(
             "seconds",
             "20",
-            "Seconds in which a run starts faults",
+            "Duration of fault injection in seconds",
         ))
         .arg(number("instances", "4", "Number of instances"))
         .arg(
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -37,7 +37,7 @@
     DropFromClient,
     /// Drops bytes that the server sends.
     DropToClient,
-    /// Drops all bytes; connections that were open in this mode drop them after it, too.
+    /// Drops all bytes; unlike in the other modes, connections that were open stay dead afterwards.
     Blackhole,
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// Forwards bytes in one direction, except in the mode `drop_mode`.
+/// Forwards bytes in one direction as the mode tells; in `drop_mode`, this direction is dropped.
 async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -152,6 +152,7 @@
             },
         };
         let Ok(length @ 1..) = read else {
+            // Closed or failed.
             return;
         };
         let current = *mode.borrow();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -4,7 +4,7 @@
     crate::{
         Result,
         callers::{self, InstanceAddresses},
-        faults::{Deployment, Fault, draw_fault, inject_fault, switch_lookup_service},
+        faults::{Deployment, Fault, draw_fault, inject_fault, publish_next_config},
         guarantees,
         history::{History, HistoryData, Outcome},
         instance::Instance,
@@ -27,7 +27,7 @@
 };
 
 /// Services and their numbers of targets; the first service is sharded.
-const TARGETS: [(&str, usize); 2] = [("boards", 5), ("crews", 3)];
+const SERVICES: [(&str, usize); 2] = [("boards", 5), ("crews", 3)];
 /// Number of concurrent callers.
 const CALLER_COUNT: u64 = 16;
 /// Time after the start within which a deployment must serve all probed keys.
@@ -36,9 +36,9 @@
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Distance between probed keys.
+/// Distance between probed keys; it gives 17 keys per instance.
 const PROBE_KEY_STEP: usize = 4001;
-/// Range of the pause between two faults, in milliseconds.
+/// Shortest and longest pause between two faults, in milliseconds.
 const FAULT_PAUSE_RANGE_MS: (u64, u64) = (200, 1800);
 
 /// Options of a run.
@@ -88,9 +88,11 @@
     tasks.spawn(report_cold_targets(deployment.clone()));
     let faults = inject_faults(options, &deployment).await;
     let exited = find_exited_instances(&deployment).await;
+    // The callers keep sending during this check.
     let unserved = check_recovery(&addresses).await;
     tasks.abort_all();
     let data = deployment.history.snapshot();
+    // The observer has checked the grants (`OWNER`, `FENCE`).
     let mut violations = observer.violations();
     violations.extend(guarantees::find_violations(&data, &observer.arrivals()));
     violations.extend(exited);
@@ -109,7 +111,7 @@
     std::fs::create_dir_all(&options.work_directory)?;
     let store = FakeStore::start().await;
     let mut targets = Vec::new();
-    for (service, count) in TARGETS {
+    for (service, count) in SERVICES {
         for number in 0..count {
             let target = ProxiedTarget::start(number, service, &store, observer).await?;
             targets.push(Mutex::new(target));
@@ -134,7 +136,8 @@
         withdrawal_locks: Default::default(),
         config_state: Mutex::default(),
     };
-    switch_lookup_service(&deployment).await;
+    // The first configuration.
+    publish_next_config(&deployment).await;
     let addresses = list_instance_addresses(&deployment).await;
     if let Some(unserved) = wait_until_served(&addresses, START_TIMEOUT, "start").await {
         bail!("the deployment does not serve within {START_TIMEOUT:?}: {unserved}");
@@ -151,7 +154,8 @@
     addresses
 }
 
-/// Publishes the reports of cold targets until aborted, except of targets with an active fault.
+/// Publishes the reports of cold targets until aborted. An active fault of a target holds its lock,
+/// and the target is skipped.
 async fn report_cold_targets(deployment: Arc<Deployment>) {
     loop {
         sleep(REPORT_INTERVAL).await;
@@ -210,7 +214,7 @@
 }
 
 /// Waits until every instance serves all probed keys; after `limit`, describes the probes that
-/// still fail.
+/// still fail. `id_prefix` makes the request IDs unique in a run.
 async fn wait_until_served(
     addresses: &InstanceAddresses,
     limit: Duration,
--- a/soak/src/targets.rs
+++ b/soak/src/targets.rs
@@ -69,6 +69,7 @@
             started_at: Instant::now(),
         };
         proxied.restore(store).await;
+        // Only later starts are cold.
         proxied.options.cold_time = COLD_TIME;
         Ok(proxied)
     }
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Publishes the remaining cold time again, as targets do at intervals; does nothing once warm.
+    /// Publishes the remaining cold time again, as targets do at intervals. It goes on for two more
+    /// intervals, so that the store gets a report without cold time; then it does nothing.
     pub fn report_if_cold(&self, store: &FakeStore) {
         let is_cold = self.started_at.elapsed() < self.options.cold_time + 2 * REPORT_INTERVAL;
         if let Some(target) = self.target.as_ref().filter(|_| is_cold) {
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -36,9 +36,9 @@
     }
 }
 
-fn new_event(start: Instant, start_ms: u64, end_ms: Option<u64>, subject: EventKind) -> Event {
+fn new_event(start: Instant, start_ms: u64, end_ms: Option<u64>, event_kind: EventKind) -> Event {
     Event {
-        subject,
+        event_kind,
         started_at: millis_after(start, start_ms),
         ended_at: end_ms.map(|it| millis_after(start, it)),
     }
@@ -60,7 +60,7 @@
     let start = Instant::now();
     let ran = [new_arrival(start, 10, true)];
     let twice = [new_arrival(start, 10, true), new_arrival(start, 20, true)];
-    let one_request = |kind, end| vec![new_request(start, 0, kind, end)];
+    let one_request = |kind, outcome| vec![new_request(start, 0, kind, outcome)];
     let ok = Outcome::Response(200, true);
     assert_eq!(
         violation_prefixes(one_request(RequestKind::Removal, ok), vec![], &twice),
@@ -140,22 +140,23 @@
 #[test]
 fn requests_to_draining_and_withdrawn_targets_are_reported() {
     let start = millis_after(Instant::now(), 10_000);
-    let leave = new_event(start, 0, None, EventKind::TargetDrain("boards-0".into()));
+    let drain = new_event(start, 0, None, EventKind::TargetDrain("boards-0".into()));
+    // The limit is 2000 ms, with 300 ms of slack.
     let late = [new_arrival(start, 2400, true)];
     assert_eq!(
-        violation_prefixes(vec![], vec![leave.clone()], &late),
+        violation_prefixes(vec![], vec![drain.clone()], &late),
         ["DRAIN"]
     );
     assert!(
         violation_prefixes(
             vec![],
-            vec![leave.clone()],
+            vec![drain.clone()],
             &[new_arrival(start, 2200, true)]
         )
         .is_empty()
     );
     let store = new_event(start, 100, Some(300), EventKind::StoreFault);
-    assert!(violation_prefixes(vec![], vec![leave, store], &late).is_empty());
+    assert!(violation_prefixes(vec![], vec![drain, store], &late).is_empty());
     let withdrawn = new_event(start, 0, None, EventKind::Withdrawal("west".into()));
     let late = [new_arrival(start, 5400, true)];
     assert_eq!(violation_prefixes(vec![], vec![withdrawn], &late), ["EVAC"]);
@@ -170,18 +171,18 @@
         Some(1),
         EventKind::ColdStart("boards-0".into()),
     )];
-    let burst = |from: u64, count: u64, interval_ms: u64| -> Vec<Arrival> {
+    let evenly_spaced = |from: u64, count: u64, interval_ms: u64| -> Vec<Arrival> {
         let times = (0..count).map(|it| from + it * interval_ms);
         times.map(|at| new_arrival(start, at, true)).collect()
     };
-    let dense = burst(1500, 10, 100);
+    let excessive = evenly_spaced(1500, 10, 100);
     assert_eq!(
-        violation_prefixes(vec![], cold.clone(), &dense),
+        violation_prefixes(vec![], cold.clone(), &excessive),
         ["FAILBACK"]
     );
     // Nine requests a second are allowed for any time, and more at a warm target.
-    assert!(violation_prefixes(vec![], cold.clone(), &burst(0, 27, 112)).is_empty());
-    assert!(violation_prefixes(vec![], cold, &burst(3000, 30, 10)).is_empty());
+    assert!(violation_prefixes(vec![], cold.clone(), &evenly_spaced(0, 27, 112)).is_empty());
+    assert!(violation_prefixes(vec![], cold, &evenly_spaced(3000, 30, 10)).is_empty());
 }
 
 #[test]
@@ -214,6 +215,7 @@
     let observer = TargetObserver::default();
     let now = Instant::now();
     let (a, b) = (("a".to_owned(), 1), ("b".to_owned(), 1));
+    // Service and target, first and last key, fence, end of the grant.
     observer.record_grant(("boards", &a), (0, 99), 5, millis_after(now, 60_000));
     observer.record_grant(("boards", &b), (100, 199), 6, millis_after(now, 60_000));
     assert!(observer.violations().is_empty());
@@ -228,7 +230,7 @@
 }
 
 #[test]
-fn renewal_for_the_previous_incarnation_is_allowed_only_after_a_known_start() {
+fn renewal_for_the_previous_incarnation_is_allowed_only_after_a_recorded_start() {
     let observer = TargetObserver::default();
     let now = Instant::now();
     let [first, second, third] = [1, 2, 3].map(|incarnation| ("a".to_owned(), incarnation));
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -5,14 +5,15 @@
     std::{fs, time::Duration},
 };
 
-/// Seeds that once violated a guarantee, with the seconds of their run and the cause.
+/// Seeds that once violated a guarantee, with the seconds of their run and the cause; "allowed" tells
+/// what the checks accept since then.
 const FAILED_RUNS: [(u64, u64, &str); 7] = [
     (
         21,
         20,
         "SIGHUP for a reload ended a process that had not installed its signal handlers yet",
     ),
-    (32, 20, "the same"),
+    (32, 20, "as seed 21"),
     (
         104,
         20,
@@ -33,7 +34,7 @@
         20,
         "a target that restarted cold while the store was unreachable got its former load",
     ),
-    (5032, 20, "the same"),
+    (5032, 20, "as seed 5001"),
 ];
 /// Seed and seconds of the short run.
 const SHORT_RUN: (u64, u64) = (7, 12);
@@ -66,6 +67,7 @@
         "seed {seed}: {unknown:#?}, logs in {}",
         options.work_directory.display()
     );
+    // The checks mean little if few requests succeed.
     let succeeded = report.outcomes.get("200").copied().unwrap_or_default();
     assert!(
         succeeded > 100,
