--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -98,8 +98,8 @@
     until: Instant,
 ) -> bool {
     history.events.iter().any(|event| {
-        let is_concerned = matches!(&event.event_kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
-        is_concerned && overlaps(event, from, until)
+        let is_match = matches!(&event.event_kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
+        is_match && overlaps(event, from, until)
     })
 }
 
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -5,8 +5,8 @@
     std::{fs, time::Duration},
 };
 
-/// Seeds that once violated a guarantee, with the seconds of their run and the cause; "allowed" tells
-/// what the checks accept since then.
+/// Seeds that once violated a guarantee, with the seconds of their run and the cause; "allowed"
+/// tells what the checks accept since then.
 const FAILED_RUNS: [(u64, u64, &str); 7] = [
     (
         21,
