--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -98,7 +98,10 @@
     until: Instant,
 ) -> bool {
     history.events.iter().any(|event| {
-        let is_match = matches!(&event.event_kind, EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance);
+        let is_match = matches!(
+            &event.event_kind,
+            EventKind::InstanceKill(it) | EventKind::InstancePause(it) if it == instance
+        );
         is_match && overlaps(event, from, until)
     })
 }
