--- a/crates/cowslipcross/src/peers/membership_tests.rs
+++ b/crates/cowslipcross/src/peers/membership_tests.rs
@@ -1,7 +1,7 @@
-//! Members as a text, and what belongs to whom.
+//! The encoded form of a membership, and how members are ordered and chosen.
 
 use {
-    super::{Member, Membership, weight},
+    super::{Member, Membership, cpu_weight},
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
@@ -14,31 +14,35 @@
 
 fn membership(weights: &[u8]) -> Membership {
     let members = weights.iter().zip(1..);
-    Membership::new(members.map(|(weight, at)| member(at, *weight)).collect())
+    Membership::new(
+        members
+            .map(|(weight, number)| member(number, *weight))
+            .collect(),
+    )
 }
 
 #[test]
-fn a_crew_survives_its_text() {
+fn a_membership_survives_encoding() {
     for count in [0, 1, 77, 250] {
         let membership = membership(&vec![20; count]);
         assert_eq!(
-            Membership::read(&membership.text()),
+            Membership::parse(&membership.to_text()),
             Some(membership.clone())
         );
         assert_eq!(membership.members().len(), count);
     }
-    assert_eq!(Membership::read("????"), None);
-    assert_eq!(Membership::read("AAAA"), None);
+    assert_eq!(Membership::parse("????"), None);
+    assert_eq!(Membership::parse("AAAA"), None);
     assert_ne!(membership(&[20, 20]).hash(), membership(&[20, 21]).hash());
 }
 
 #[test]
-fn names_go_by_weight() {
+fn pools_are_distributed_by_weight() {
     let membership = membership(&[10, 10, 10, 10, 50, 50]);
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for number in 0..7000 {
-        let holder = membership.holder(&format!("b{number}"), |_| true);
-        *counts.entry(holder.expect("a member")).or_default() += 1;
+        let coordinator = membership.select_coordinator(&format!("b{number}"), |_| true);
+        *counts.entry(coordinator.expect("a member")).or_default() += 1;
     }
     for member in membership.members() {
         let expected = 50 * u32::from(member.weight);
@@ -51,35 +55,41 @@
 }
 
 #[test]
-fn a_member_that_is_passed_over_changes_only_its_own_names() {
+fn excluding_a_member_moves_only_its_own_pools() {
     let membership = membership(&[20; 9]);
-    let gone = membership.members()[4].address;
+    let excluded = membership.members()[4].address;
     for number in 0..500 {
-        let name = format!("b{number}");
-        let before = membership.holder(&name, |_| true);
-        let after = membership.holder(&name, |it| *it != gone);
-        assert!(before == after || before == Some(gone));
+        let pool = format!("b{number}");
+        let before = membership.select_coordinator(&pool, |_| true);
+        let after = membership.select_coordinator(&pool, |it| *it != excluded);
+        assert!(before == after || before == Some(excluded));
     }
-    assert_eq!(Membership::default().holder("b", |_| true), None);
+    assert_eq!(
+        Membership::default().select_coordinator("b", |_| true),
+        None
+    );
 }
 
 #[test]
-fn weights_stay_within_a_byte() {
-    assert_eq!([0.0, 0.1, 1.0, 64.0].map(weight), [1, 10, 100, 255]);
+fn weights_are_clamped_to_a_byte() {
+    assert_eq!([0.0, 0.1, 1.0, 64.0].map(cpu_weight), [1, 10, 100, 255]);
 }
 
 #[test]
-fn the_strongest_come_first() {
+fn positions_follow_falling_weight() {
     let membership = membership(&[10, 50, 10, 50]);
-    let ranks = membership
+    let positions = membership
         .members()
         .iter()
-        .map(|it| membership.rank(it.address));
-    assert_eq!(ranks.collect::<Vec<_>>(), [2, 0, 3, 1].map(Some));
+        .map(|it| membership.position(it.address));
+    assert_eq!(positions.collect::<Vec<_>>(), [2, 0, 3, 1].map(Some));
     let first = membership.members()[1];
     assert_eq!(
-        membership.strongest(first.address),
+        membership.strongest_except(first.address),
         Some(membership.members()[3])
     );
-    assert_eq!(membership.rank(SocketAddr::from(([9, 9, 9, 9], 1))), None);
+    assert_eq!(
+        membership.position(SocketAddr::from(([9, 9, 9, 9], 1))),
+        None
+    );
 }
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -1,9 +1,9 @@
-//! What instances tell each other.
+//! Messages between instances.
 //!
-//! Names on the wire are single letters: permits are asked for with every request.
+//! Names on the wire are single letters to keep messages short, as every request asks for a permit.
 
 use {
-    crate::views::news::WireNews,
+    crate::views::target_updates::TargetUpdateMessage,
     cowslip_decide::{
         names::{Fence, Name},
         owners::{Assignment, TargetIncarnation},
@@ -12,199 +12,197 @@
     std::collections::BTreeMap,
 };
 
-/// A message.
+/// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// From the leader to all.
+    /// From the leader to all members, periodically and on changes.
     #[serde(rename = "b")]
-    Beat(Heartbeat),
-    /// From the leader to one that knows other members.
+    Heartbeat(LeaderHeartbeat),
+    /// The encoded membership, from the leader to an instance that reported another hash of it.
     #[serde(rename = "m")]
     Members(String),
-    /// To the leader from one that has missed changes of a service's owners.
+    /// Asks the leader for a service's assignments after an update was missed.
     #[serde(rename = "w")]
-    Missed(Name),
-    /// From the leader: all owners of a service's keys.
+    AssignmentsRequest(Name),
+    /// All assignments of a service, in reply to [`Message::AssignmentsRequest`].
     #[serde(rename = "o")]
-    Owners(Name, Recorded),
-    /// From a leader that has given its row up, to the one that should take it.
+    Assignments(Name, AssignmentUpdate),
+    /// From a leader that has released its row, to the instance that should claim it.
     #[serde(rename = "l")]
-    Lead,
-    /// From an instance to the leader.
+    LeadershipOffer,
+    /// From an instance to the leader, periodically.
     #[serde(rename = "r")]
-    Report(Report),
-    /// Question for a permit to send.
+    Report(InstanceReport),
+    /// Asks a pool's coordinator for a permit to send a request to a target.
     #[serde(rename = "a")]
-    Ask {
-        /// Number of the question at the instance that asks.
+    PermitRequest {
+        /// Number of the permit request, unique at its sender.
         #[serde(rename = "n")]
         number: u64,
-        /// Service.
+        /// Service of the request.
         #[serde(rename = "s")]
         service: Name,
-        /// Owner of the key, if the service is divided.
+        /// Owner of the request's key if the service is sharded; `None` otherwise.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
         target: Option<Name>,
-        /// Rank of the request.
+        /// Priority of the request.
         #[serde(rename = "r")]
-        rank: u8,
-        /// Milliseconds until its deadline.
+        priority: u8,
+        /// Milliseconds until the deadline of the request.
         #[serde(rename = "l")]
-        left: u64,
-        /// Milliseconds within which its answer earns its full worth.
+        deadline_ms: u64,
+        /// Milliseconds within which the response is worth most; 0 if they have passed.
         #[serde(rename = "g")]
-        goal: u64,
-        /// Data centre of the instance that asks.
+        goal_ms: u64,
+        /// Data centre of the sender.
         #[serde(rename = "z")]
         data_centre: Name,
-        /// Targets that did not serve it before.
+        /// Targets that failed to serve an earlier attempt.
         #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-        tried: Vec<Name>,
+        excluded: Vec<Name>,
     },
-    /// Permit to send.
+    /// Grants a permit.
     #[serde(rename = "p")]
-    Granted {
-        /// Number of the question.
+    PermitGranted {
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
-        /// Target.
+        /// Target to send the request to.
         #[serde(rename = "t")]
         target: Name,
     },
-    /// The request waits for a permit.
+    /// The permit request waits in the coordinator's queue.
     #[serde(rename = "q")]
-    Queued {
-        /// Number of the question.
+    PermitQueued {
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
     },
-    /// The request cannot be served in time.
+    /// The request cannot be served before its deadline.
     #[serde(rename = "x")]
-    Refused {
-        /// Number of the question.
+    PermitRefused {
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
-        /// Milliseconds after which it should come back.
+        /// Milliseconds after which the caller should retry.
         #[serde(rename = "w")]
-        wait: u64,
+        wait_ms: u64,
     },
-    /// A permit is given back, or the question for one withdrawn.
+    /// Returns a permit, or withdraws the permit request.
     #[serde(rename = "d")]
-    Done {
-        /// Number of the question.
+    PermitReturned {
+        /// Number of the permit request.
         #[serde(rename = "n")]
         number: u64,
-        /// How the request ended.
+        /// Code of the request's [`PermitOutcome`](cowslip_decide::permits::PermitOutcome).
         #[serde(rename = "o")]
         outcome: u8,
-        /// Momentary slowness that the target told.
+        /// Slowdown that the target reported with its response.
         #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-        slowness: Option<f64>,
+        slowdown: Option<f64>,
     },
 }
 
-/// What the leader tells all.
+/// Versions and changes known to the leader, which the other instances follow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Heartbeat {
-    /// Time of the sender's logical clock.
+pub struct LeaderHeartbeat {
+    /// Time of the sender's hybrid logical clock.
     #[serde(rename = "c")]
-    pub stamp: u64,
-    /// Version of the leader's row.
+    pub timestamp: u64,
+    /// Version of the leader's row in the store; lower ones mark heartbeats of previous leaders.
     #[serde(rename = "s")]
-    pub seat: u64,
-    /// Versions of the owners by service, with what changed last.
+    pub leader_version: u64,
+    /// Versions of the recorded assignments by service, with recent changes.
     #[serde(rename = "o")]
-    pub owners: BTreeMap<Name, Recorded>,
-    /// Instances that the leader assumes.
+    pub assignment_updates: BTreeMap<Name, AssignmentUpdate>,
+    /// Number of instances among which shared limits are divided.
     #[serde(rename = "i")]
-    pub instances: u32,
-    /// Hash of the members.
+    pub instance_count: u32,
+    /// Hash of the membership; receivers do not read it.
     #[serde(rename = "h")]
-    pub membership: u32,
-    /// Version of the operators' last change that the leader knows.
+    pub membership_hash: u32,
+    /// Highest version of an operators' row that the leader has applied.
     #[serde(rename = "v")]
-    pub config: u64,
-    /// What the leader knows of the targets.
+    pub config_version: u64,
+    /// Recent changes of targets, or a confirmation that there are none.
     #[serde(rename = "t")]
-    pub targets: WireNews,
+    pub target_update: TargetUpdateMessage,
 }
 
-/// What an instance tells the leader.
+/// Load and state of an instance, sent to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
-    /// Time of the sender's logical clock.
+pub struct InstanceReport {
+    /// Time of the sender's hybrid logical clock.
     #[serde(rename = "c")]
-    pub stamp: u64,
-    /// Weight of the instance.
+    pub timestamp: u64,
+    /// Weight of the instance, see [`Member`](crate::peers::membership::Member).
     #[serde(rename = "w")]
     pub weight: u8,
-    /// Whether the store answered it last.
+    /// Whether the store answered the instance's last call.
     #[serde(rename = "a")]
-    pub able: bool,
-    /// Hash of the members that it knows.
+    pub store_reachable: bool,
+    /// Hash of the membership that the instance has.
     #[serde(rename = "h")]
-    pub membership: u32,
-    /// Version of the operators' last change that it knows.
+    pub membership_hash: u32,
+    /// Highest version of an operators' row that the instance has applied.
     #[serde(rename = "v")]
-    pub config: u64,
-    /// Keys with the number of requests, by service.
+    pub config_version: u64,
+    /// Busiest keys with the number of requests since the last report, by service.
     #[serde(rename = "k")]
-    pub keys: BTreeMap<Name, Vec<(u16, u32)>>,
-    /// Average time of the answers of targets in milliseconds.
+    pub key_counts: BTreeMap<Name, Vec<(u16, u32)>>,
+    /// Service times in milliseconds of the targets whose pools the instance coordinates.
     #[serde(rename = "p")]
-    pub paces: BTreeMap<Name, u32>,
+    pub service_times: BTreeMap<Name, u32>,
 }
 
-/// Version of the recorded owners of a service, and what a fresh record changed.
+/// Version of a service's recorded assignments, with a recent change or with all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Recorded {
-    /// Version.
+pub struct AssignmentUpdate {
+    /// Version of the service's row in the store.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Version before the change.
+    /// Version to which the change applies; 0 without a change.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
-    pub base: u64,
-    /// Pieces that are new.
+    pub base_version: u64,
+    /// Assignments that were added or replaced; all of them in [`Message::Assignments`].
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub pieces: Vec<WirePiece>,
-    /// Whether one that has missed changes reads the store, as there is too much to tell.
+    pub assignments: Vec<WireAssignment>,
+    /// Whether the service has too many assignments for a message: an instance that missed an
+    /// update has to read the store.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
-    pub large: bool,
+    pub large_table: bool,
 }
 
-/// First key, last key, owner with the time of its start, fence.
+/// First key, last key, owner (id, incarnation), fence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WirePiece(u16, u16, Option<(Name, u64)>, u64);
+pub struct WireAssignment(u16, u16, Option<(Name, u64)>, u64);
 
-impl From<&Assignment> for WirePiece {
-    fn from(piece: &Assignment) -> Self {
-        let owner = piece
+impl From<&Assignment> for WireAssignment {
+    fn from(assignment: &Assignment) -> Self {
+        let owner = assignment
             .owner
             .as_ref()
             .map(|it| (it.id.clone(), it.incarnation));
-        Self(piece.first, piece.last, owner, piece.fence.0)
+        Self(assignment.first, assignment.last, owner, assignment.fence.0)
     }
 }
 
-impl From<&WirePiece> for Assignment {
-    fn from(wire: &WirePiece) -> Self {
-        let WirePiece(first, last, owner, fence) = wire.clone();
+impl From<&WireAssignment> for Assignment {
+    fn from(wire: &WireAssignment) -> Self {
+        let WireAssignment(first, last, owner, fence) = wire.clone();
         Self {
             first,
             last,
-            owner: owner.map(|(id, born)| TargetIncarnation {
-                id,
-                incarnation: born,
-            }),
+            owner: owner.map(|(id, incarnation)| TargetIncarnation { id, incarnation }),
             fence: Fence(fence),
-            // Of use to a leader alone, which reads it in the store.
+            // Only a new leader needs it, and reads it from the store.
             expires_at: None,
         }
     }
 }
 
-fn is_false(it: &bool) -> bool {
-    !it
+fn is_false(flag: &bool) -> bool {
+    !flag
 }
 
 fn is_zero(number: &u64) -> bool {
--- /dev/null
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -0,0 +1,231 @@
+//! Immutable snapshots of the targets, as read from the store or received from the leader.
+
+use {
+    crate::views::target_updates::{TargetChanges, TargetUpdateMessage},
+    cowslip_adapter::targets::TargetReport,
+    cowslip_decide::{names::Name, owners::TargetIncarnation},
+    std::{collections::BTreeMap, rc::Rc, time::Duration},
+    tokio::time::Instant,
+};
+
+/// Time without a confirmation of the snapshot after which missing reports may have lapsed because
+/// the store was unavailable to the targets, too.
+const MAX_READ_GAP: Duration = Duration::from_millis(2200);
+/// Time after the store has recovered within which live targets report again.
+const REPORT_GRACE_PERIOD: Duration = Duration::from_millis(2300);
+/// A report is no change if it moves the end of a target's cold time by no more than this.
+const COLD_TOLERANCE: Duration = Duration::from_millis(500);
+
+/// A target as last reported, with the local times of its changes.
+#[derive(Clone, Debug)]
+pub struct TargetView {
+    /// Last report of the target.
+    pub report: Rc<TargetReport>,
+    /// When the target was first known to drain; `None` if it does not.
+    pub draining_since: Option<Instant>,
+    /// When the target will be warm; `None` if it was reported as warm.
+    pub cold_until: Option<Instant>,
+    /// When this incarnation of the target was first known.
+    pub known_since: Instant,
+}
+
+/// All targets at a version of the store.
+#[derive(Clone, Debug)]
+pub struct TargetSnapshot {
+    views: BTreeMap<Name, TargetView>,
+    /// Store version up to which all reports are included.
+    store_version: u64,
+    /// Version of the store at the last change.
+    changed_version: u64,
+    /// When the last read that confirmed the snapshot was sent, here or at the leader; `None`
+    /// before the first read.
+    confirmed_at: Option<Instant>,
+    /// Until when missing targets are kept after a gap between reads.
+    grace_until: Option<Instant>,
+}
+
+/// Result of applying a heartbeat's part about targets.
+#[derive(Clone, Debug)]
+pub enum UpdateResult {
+    /// The targets are the same; the snapshot has a new time of confirmation.
+    Confirmed(TargetSnapshot),
+    /// Targets have changed.
+    Changed(TargetSnapshot),
+    /// Changes were missed; the targets have to be read from the store.
+    Missed,
+}
+
+impl TargetSnapshot {
+    /// Returns the snapshot of an instance that has not read the targets yet.
+    pub fn empty() -> Self {
+        Self {
+            views: BTreeMap::new(),
+            store_version: 0,
+            changed_version: 0,
+            confirmed_at: None,
+            grace_until: None,
+        }
+    }
+
+    /// Returns whether the targets were ever read from the store.
+    pub fn is_known(&self) -> bool {
+        self.confirmed_at.is_some()
+    }
+
+    /// Returns when the last read that confirmed the snapshot was sent; `None` before the first.
+    pub fn confirmed_at(&self) -> Option<Instant> {
+        self.confirmed_at
+    }
+
+    /// Returns the time since [`Self::confirmed_at`].
+    pub fn age(&self, now: Instant) -> Option<Duration> {
+        self.confirmed_at
+            .map(|at| now.saturating_duration_since(at))
+    }
+
+    /// Returns the version of the store at the last change.
+    pub fn changed_version(&self) -> u64 {
+        self.changed_version
+    }
+
+    /// Returns the target with this id.
+    pub fn get(&self, id: &str) -> Option<&TargetView> {
+        self.views.get(id)
+    }
+
+    /// Returns all targets.
+    pub fn all(&self) -> impl Iterator<Item = &TargetView> {
+        self.views.values()
+    }
+
+    /// Returns the targets of a service.
+    pub fn for_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a TargetView> {
+        let all = self.views.values();
+        all.filter(move |view| &*view.report.service == service)
+    }
+
+    /// Returns the snapshot after a read of the store that was sent at `sent`, and the changes.
+    ///
+    /// Reports that lapsed while the store was unavailable are written again soon after it has
+    /// recovered; until then missing targets are kept.
+    pub fn with_reports(
+        &self,
+        reports: Vec<TargetReport>,
+        version: u64,
+        (sent, now): (Instant, Instant),
+    ) -> (Self, TargetChanges) {
+        let has_read_gap = self.age(sent).is_some_and(|age| age > MAX_READ_GAP);
+        let grace_until = match has_read_gap {
+            true => Some(now + REPORT_GRACE_PERIOD),
+            false => self.grace_until.filter(|until| *until > now),
+        };
+        let reports = reports.into_iter().map(|it| (it.id.clone(), it));
+        let reports: BTreeMap<Name, TargetReport> = reports.collect();
+        let removed = self.views.keys().filter(|id| !reports.contains_key(*id));
+        let removed = removed.filter(|_| grace_until.is_none());
+        let mut changes: TargetChanges = removed.map(|id| (id.clone(), None)).collect();
+        let updated = reports
+            .into_iter()
+            .filter(|(_, it)| self.is_changed(it, now));
+        changes.extend(updated.map(|(id, it)| (id, Some(it))));
+        let changed_version = match changes.is_empty() {
+            true => self.changed_version,
+            false => version,
+        };
+        let next = Self {
+            views: self.apply_changes(&changes, now),
+            store_version: version.max(self.store_version),
+            changed_version: changed_version.max(self.changed_version),
+            confirmed_at: self.confirmed_at.max(Some(sent)),
+            grace_until,
+        };
+        (next, changes)
+    }
+
+    /// Applies a heartbeat's part about targets.
+    pub fn apply_message(&self, message: TargetUpdateMessage, now: Instant) -> UpdateResult {
+        // The leader has not read the targets yet.
+        let Some(age_ms) = message.age_ms else {
+            return UpdateResult::Confirmed(self.clone());
+        };
+        let read_at = now.checked_sub(Duration::from_millis(age_ms));
+        let (version, base_version) = (message.version, message.base_version);
+        let confirmed_at = self.confirmed_at.max(read_at);
+        if self.confirmed_at.is_some() && self.store_version >= version {
+            // Reads here have included the leader's last change already.
+            let changed_version = version.max(self.changed_version);
+            return UpdateResult::Confirmed(Self {
+                confirmed_at,
+                changed_version,
+                ..self.clone()
+            });
+        }
+        let changes = message.into_changes();
+        if self.confirmed_at.is_none() || changes.is_empty() || self.store_version < base_version {
+            return UpdateResult::Missed;
+        }
+        UpdateResult::Changed(Self {
+            views: self.apply_changes(&changes, now),
+            store_version: version,
+            changed_version: version,
+            confirmed_at,
+            grace_until: self.grace_until,
+        })
+    }
+
+    fn apply_changes(&self, changes: &TargetChanges, now: Instant) -> BTreeMap<Name, TargetView> {
+        let mut views = self.views.clone();
+        for (id, report) in changes {
+            match report {
+                Some(report) => {
+                    let next = TargetView::new(report.clone(), self.views.get(id), now);
+                    views.insert(id.clone(), next);
+                }
+                None => drop(views.remove(id)),
+            }
+        }
+        views
+    }
+
+    /// Returns whether a report differs from the last one by more than the passing of cold time.
+    fn is_changed(&self, new_report: &TargetReport, now: Instant) -> bool {
+        let Some(view) = self.views.get(&new_report.id) else {
+            return true;
+        };
+        let known = TargetReport {
+            cold_remaining: new_report.cold_remaining,
+            ..(*view.report).clone()
+        };
+        let cold_end = view.cold_until.unwrap_or(now).max(now);
+        known != *new_report || now + new_report.cold_remaining > cold_end + COLD_TOLERANCE
+    }
+}
+
+impl TargetView {
+    fn new(report: TargetReport, previous: Option<&Self>, now: Instant) -> Self {
+        let previous = previous.filter(|it| it.report.incarnation == report.incarnation);
+        let drain_start = previous.and_then(|it| it.draining_since);
+        let draining_since = report.draining.then(|| drain_start.unwrap_or(now));
+        let cold_until =
+            (report.cold_remaining > Duration::ZERO).then(|| now + report.cold_remaining);
+        Self {
+            draining_since,
+            cold_until,
+            known_since: previous.map_or(now, |it| it.known_since),
+            report: Rc::new(report),
+        }
+    }
+
+    /// Returns the id and incarnation of the target.
+    pub fn target_incarnation(&self) -> TargetIncarnation {
+        TargetIncarnation {
+            id: self.report.id.clone(),
+            incarnation: self.report.incarnation,
+        }
+    }
+
+    /// Returns whether the target is still cold.
+    pub fn is_cold(&self, now: Instant) -> bool {
+        self.cold_until.is_some_and(|until| until > now)
+    }
+}
--- /dev/null
+++ b/crates/cowslipcross/src/views/target_updates_tests.rs
@@ -0,0 +1,233 @@
+//! Updates of targets in heartbeats: snapshots of followers stay complete, and missed updates are
+//! noticed.
+
+use {
+    super::{TargetUpdateMessage, TargetUpdates},
+    crate::views::target_snapshot::{TargetSnapshot, UpdateResult},
+    cowslip_adapter::targets::TargetReport,
+    std::{net::SocketAddr, time::Duration},
+    tokio::time::Instant,
+};
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+fn target(id: &str, draining: bool, cold_ms: u64) -> TargetReport {
+    TargetReport {
+        id: id.into(),
+        service: "boards".into(),
+        address: SocketAddr::from(([10, 1, 0, 1], 8500)),
+        data_centre: "west".into(),
+        slots: 2,
+        draining,
+        cold_remaining: millis(cold_ms),
+        incarnation: 1,
+    }
+}
+
+/// A leader's snapshot and the updates that it sends.
+struct Leader {
+    snapshot: TargetSnapshot,
+    updates: TargetUpdates,
+}
+
+impl Leader {
+    fn new() -> Self {
+        Self {
+            snapshot: TargetSnapshot::empty(),
+            updates: TargetUpdates::default(),
+        }
+    }
+
+    fn read(&mut self, reports: &[TargetReport], version: u64, now: Instant) {
+        let before = self.snapshot.changed_version();
+        let (next, changes) = self
+            .snapshot
+            .with_reports(reports.to_vec(), version, (now, now));
+        if !changes.is_empty() {
+            self.updates
+                .add_update((before, next.changed_version()), changes);
+        }
+        self.snapshot = next;
+    }
+
+    /// Returns the next heartbeat's part about targets, encoded and decoded.
+    fn send_message(&mut self, now: Instant) -> TargetUpdateMessage {
+        let bytes = serde_json::to_vec(&self.updates.next_message(&self.snapshot, now));
+        serde_json::from_slice(&bytes.expect("JSON")).expect("an update message")
+    }
+}
+
+fn read(reports: &[TargetReport], version: u64, now: Instant) -> TargetSnapshot {
+    let (snapshot, _) = TargetSnapshot::empty().with_reports(reports.to_vec(), version, (now, now));
+    snapshot
+}
+
+#[test]
+fn a_heartbeat_without_changes_confirms_a_snapshot() {
+    let start = Instant::now();
+    let all = [target("a", false, 0), target("b", false, 0)];
+    // The follower has read a later version of the store than the leader, with the same reports.
+    let (mut leader, follower) = (Leader::new(), read(&all, 10, start));
+    leader.read(&all, 9, start);
+    let later = start + millis(1500);
+    leader.read(&all, 30, later);
+    let UpdateResult::Confirmed(snapshot) = follower.apply_message(
+        leader.send_message(later + millis(200)),
+        later + millis(200),
+    ) else {
+        panic!("nothing has changed");
+    };
+    assert_eq!(snapshot.confirmed_at(), Some(later));
+    assert_eq!(snapshot.all().count(), 2);
+}
+
+#[test]
+fn changes_are_applied_without_a_read_of_the_store() {
+    let start = Instant::now();
+    let mut leader = Leader::new();
+    leader.read(&[target("a", false, 0), target("b", false, 0)], 9, start);
+    // The follower has read a later version of the store than the leader, with the same reports.
+    let follower = read(&[target("a", false, 0), target("b", false, 0)], 12, start);
+    let later = start + millis(900);
+    leader.read(&[target("b", true, 0), target("c", false, 3000)], 40, later);
+    let now = later + millis(20);
+    let UpdateResult::Changed(snapshot) = follower.apply_message(leader.send_message(now), now)
+    else {
+        panic!("a was removed, b drains, c is new");
+    };
+    assert!(snapshot.get("a").is_none());
+    assert!(
+        snapshot
+            .get("b")
+            .is_some_and(|it| it.draining_since.is_some())
+    );
+    assert!(
+        snapshot
+            .get("c")
+            .is_some_and(|it| it.is_cold(now + millis(2900)))
+    );
+    assert_eq!(snapshot.changed_version(), 40);
+    // A heartbeat includes both changes until each one was sent often enough.
+    leader.read(&[target("b", true, 0)], 44, later + millis(300));
+    let now = later + millis(310);
+    let UpdateResult::Changed(first) = follower.apply_message(leader.send_message(now), now) else {
+        panic!("both changes are included");
+    };
+    let UpdateResult::Changed(second) = snapshot.apply_message(leader.send_message(now), now)
+    else {
+        panic!("the second change is new to the first one's snapshot");
+    };
+    for snapshot in [first, second] {
+        let ids: Vec<_> = snapshot.all().map(|it| it.report.id.to_string()).collect();
+        assert_eq!(ids, ["b"]);
+    }
+}
+
+#[test]
+fn a_missed_change_requires_a_read_of_the_store() {
+    let start = Instant::now();
+    let mut leader = Leader::new();
+    leader.read(&[target("a", false, 0)], 9, start);
+    // The follower has read a later version of the store than the leader, with the same reports.
+    let follower = read(&[target("a", false, 0)], 12, start);
+    leader.read(&[], 40, start + millis(900));
+    let later = start + millis(2500);
+    // Both heartbeats that include the change are lost.
+    for _ in 0..2 {
+        assert_eq!(leader.send_message(later).changes.len(), 1);
+    }
+    assert!(matches!(
+        follower.apply_message(leader.send_message(later), later),
+        UpdateResult::Missed
+    ));
+    leader.read(&[target("d", false, 0)], 50, later);
+    assert!(matches!(
+        follower.apply_message(leader.send_message(later), later),
+        UpdateResult::Missed
+    ));
+    assert!(matches!(
+        TargetSnapshot::empty().apply_message(leader.send_message(later), later),
+        UpdateResult::Missed
+    ));
+}
+
+#[test]
+fn a_change_from_another_leader_drops_earlier_updates() {
+    let start = Instant::now();
+    let (a, b, c) = (
+        target("a", false, 0),
+        target("b", false, 0),
+        target("c", false, 0),
+    );
+    let mut leader = Leader::new();
+    leader.read(std::slice::from_ref(&a), 9, start);
+    let follower = read(std::slice::from_ref(&a), 12, start);
+    leader.read(&[a.clone(), b.clone()], 20, start);
+    // The previous leader sends the change that added c, before this instance leads.
+    let mut previous = Leader::new();
+    previous.snapshot = leader.snapshot.clone();
+    previous.read(&[a.clone(), b.clone(), c.clone()], 30, start);
+    let UpdateResult::Changed(snapshot) = leader
+        .snapshot
+        .apply_message(previous.send_message(start), start)
+    else {
+        panic!("c is new");
+    };
+    leader.snapshot = snapshot;
+    assert!(leader.send_message(start).changes.is_empty());
+    leader.read(&[a, b.clone(), c], 40, start);
+    leader.read(&[b], 50, start);
+    let message = leader.send_message(start);
+    assert!(message.base_version >= 30, "{message:?}");
+    assert!(matches!(
+        follower.apply_message(message, start),
+        UpdateResult::Missed
+    ));
+}
+
+#[test]
+fn a_change_of_too_many_targets_requires_a_read_of_the_store() {
+    let start = Instant::now();
+    let mut leader = Leader::new();
+    leader.read(&[target("a", false, 0)], 9, start);
+    let follower = read(&[target("a", false, 0)], 12, start);
+    let many: Vec<TargetReport> = (0..200)
+        .map(|it| target(&format!("t{it}"), false, 0))
+        .collect();
+    leader.read(&many, 40, start + millis(600));
+    let now = start + millis(610);
+    assert!(leader.send_message(now).changes.is_empty());
+    assert!(matches!(
+        follower.apply_message(leader.send_message(now), now),
+        UpdateResult::Missed
+    ));
+}
+
+#[test]
+fn a_target_that_is_cold_again_has_changed_and_one_that_warms_up_has_not() {
+    let start = Instant::now();
+    let snapshot = read(&[target("a", false, 3000)], 9, start);
+    let now = start + millis(1000);
+    let (_, changes) = snapshot.with_reports(vec![target("a", false, 2000)], 10, (now, now));
+    assert!(changes.is_empty());
+    let (warm, _) = snapshot.with_reports(vec![target("a", false, 0)], 11, (now, now));
+    let (_, changes) = warm.with_reports(vec![target("a", false, 3000)], 12, (now, now));
+    assert!(changes.contains_key("a"));
+}
+
+#[test]
+fn targets_are_kept_for_a_while_after_the_store_was_unavailable() {
+    let start = Instant::now();
+    let snapshot = read(&[target("a", false, 0)], 9, start);
+    let recovered_at = start + millis(5000);
+    let (snapshot, changes) = snapshot.with_reports(Vec::new(), 10, (recovered_at, recovered_at));
+    assert!(changes.is_empty() && snapshot.get("a").is_some());
+    let later = recovered_at + millis(1500);
+    let (snapshot, _) = snapshot.with_reports(Vec::new(), 11, (later, later));
+    assert!(snapshot.get("a").is_some());
+    let expired = recovered_at + millis(2400);
+    let (snapshot, changes) = snapshot.with_reports(Vec::new(), 12, (expired, expired));
+    assert!(snapshot.get("a").is_none() && changes.contains_key("a"));
+}
--- /dev/null
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -0,0 +1,313 @@
+//! A test deployment on loopback: fakes of the store and the targets, instances as real processes.
+
+use {
+    bytes::Bytes,
+    cowslip_adapter_standins::{
+        config::build_config,
+        ports,
+        store::FakeStore,
+        target::{FakeTarget, TargetOptions},
+    },
+    http::{HeaderMap, Request, StatusCode},
+    http_body_util::{BodyExt, Full},
+    hyper::client::conn::http1,
+    hyper_util::rt::TokioIo,
+    std::{
+        fs::{self, File},
+        net::SocketAddr,
+        path::PathBuf,
+        process::{Child, Command},
+        thread,
+        time::Duration,
+    },
+    tokio::{
+        net::TcpStream,
+        time::{sleep, timeout},
+    },
+};
+
+/// Time after which a condition or response counts as missing.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Token for the operators' pages.
+pub const TOKEN: &str = "a-long-token";
+
+/// A running instance; the process is killed when this is dropped.
+pub struct Instance {
+    /// Address for callers.
+    pub callers: SocketAddr,
+    readiness: SocketAddr,
+    operators: SocketAddr,
+    settings_file: PathBuf,
+    log_file: PathBuf,
+    child: Child,
+}
+
+/// A response of an instance.
+#[derive(Debug)]
+pub struct InstanceResponse {
+    /// Status.
+    pub status: StatusCode,
+    /// Headers.
+    pub headers: HeaderMap,
+    /// Body.
+    pub body: Bytes,
+}
+
+/// A store, targets and instances.
+pub struct Deployment {
+    /// The platform's store.
+    pub store: FakeStore,
+    /// Targets of the sharded service `boards`.
+    pub boards: Vec<FakeTarget>,
+    /// Targets of the unsharded service `crews`.
+    pub crews: Vec<FakeTarget>,
+    /// Instances.
+    pub instances: Vec<Instance>,
+}
+
+impl Drop for Instance {
+    fn drop(&mut self) {
+        // Killing fails if the process has already exited.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = fs::remove_file(&self.settings_file);
+        // The log helps to explain a failed test.
+        if thread::panicking() {
+            let log = fs::read_to_string(&self.log_file).unwrap_or_default();
+            eprintln!("log of {}:\n{log}", self.callers);
+        }
+        let _ = fs::remove_file(&self.log_file);
+    }
+}
+
+impl Instance {
+    /// Starts the program with a settings file and a log file of its own.
+    pub fn start(name: &str, store: SocketAddr) -> Self {
+        let [callers, readiness, operators, heartbeats] =
+            [(); 4].map(|()| ports::allocate_address());
+        let text = format!(
+            "name = \"{name}\"\ndata_centre = \"west\"\nstore = \"{store}\"\ntoken = \"{TOKEN}\"\n\
+             [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
+             operators = \"{operators}\"\nheartbeats = \"{heartbeats}\"\n\
+             [bounds]\ngrace = \"6s\"\nmax_hold = \"10000ms\"\nretry_slack = \"62\"\n"
+        );
+        let file = std::env::temp_dir().join(format!("cowslip-{name}-{}", heartbeats.port()));
+        let (settings_file, log_file) = (file.with_extension("toml"), file.with_extension("log"));
+        fs::write(&settings_file, text).expect("settings are written");
+        let mut command = Command::new(env!("CARGO_BIN_EXE_cowslipcross"));
+        command
+            .arg("--settings")
+            .arg(&settings_file)
+            .stdout(File::create(&log_file).expect("a file for the log"));
+        let child = ports::spawn_process(&mut command).expect("the program starts");
+        Self {
+            callers,
+            readiness,
+            operators,
+            settings_file,
+            log_file,
+            child,
+        }
+    }
+
+    /// Sends a signal to the process.
+    pub fn signal(&self, name: &str) {
+        let id = self.child.id().to_string();
+        let mut command = Command::new("kill");
+        let kill = ports::spawn_process(command.args(["-s", name, &id]));
+        let status = kill.expect("kill starts").wait();
+        assert!(status.is_ok_and(|it| it.success()), "signal {name}");
+    }
+
+    /// Waits for the process to exit and returns its exit code; `None` after 10 s or if a signal
+    /// killed it.
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
+        for _ in 0..1000 {
+            if let Ok(Some(status)) = self.child.try_wait() {
+                return status.code();
+            }
+            sleep(Duration::from_millis(10)).await;
+        }
+        None
+    }
+
+    /// Returns whether the readiness probe succeeds.
+    pub async fn is_ready(&self) -> bool {
+        let response = fetch(self.readiness, "/-/ready").await;
+        response.is_some_and(|it| it.status == StatusCode::OK)
+    }
+
+    /// Returns the text of the metrics page.
+    pub async fn metrics(&self) -> String {
+        let response = self.get_page("/metrics", None).await;
+        String::from_utf8_lossy(&response.body).into_owned()
+    }
+
+    /// Gets an operators' page.
+    pub async fn get_page(&self, path: &str, token: Option<&str>) -> InstanceResponse {
+        let mut request = Request::builder().uri(path).header("host", "x");
+        if let Some(token) = token {
+            request = request.header("authorization", format!("Bearer {token}"));
+        }
+        let request = request.body(Full::default()).expect("a valid request");
+        exchange(self.operators, request).await.expect("a page")
+    }
+
+    /// Sends a request; `None` if the connection ended without a response.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Option<InstanceResponse> {
+        exchange(self.callers, request).await
+    }
+}
+
+impl Deployment {
+    /// Starts a deployment and waits until every instance is ready and sampled keys have owners.
+    pub async fn start(
+        instances: usize,
+        boards: usize,
+        slots: u32,
+        processing_time: Duration,
+    ) -> Self {
+        let store = FakeStore::start().await;
+        store.put("op", "config", build_config("r5", "boards").as_bytes());
+        let mut deployment = Self {
+            store,
+            boards: Vec::new(),
+            crews: Vec::new(),
+            instances: Vec::new(),
+        };
+        for index in 0..boards {
+            let options =
+                target_options(&format!("b{index}"), "boards", true, slots, processing_time);
+            deployment.boards.push(FakeTarget::start(options).await);
+        }
+        for index in 0..2 {
+            let options =
+                target_options(&format!("c{index}"), "crews", false, slots, processing_time);
+            deployment.crews.push(FakeTarget::start(options).await);
+        }
+        let all = deployment.boards.iter().chain(&deployment.crews);
+        all.for_each(|target| target.publish_report(&deployment.store, "ready"));
+        for index in 0..instances {
+            let instance = Instance::start(&format!("i{index}"), deployment.store.address());
+            deployment.instances.push(instance);
+        }
+        deployment.wait_until_ready().await;
+        deployment
+    }
+
+    /// Waits until every instance is ready and every sampled key has exactly one owner.
+    pub async fn wait_until_ready(&self) {
+        for instance in &self.instances {
+            wait_until(|| instance.is_ready()).await;
+        }
+        wait_until(|| async {
+            (0..=65535u64)
+                .step_by(997)
+                .all(|key| self.owner_count(key) == 1)
+        })
+        .await;
+        // Heartbeats with the membership arrive within a second.
+        sleep(Duration::from_millis(1200)).await;
+    }
+
+    /// Returns how many targets have a grant for a key.
+    pub fn owner_count(&self, key: u64) -> usize {
+        self.boards
+            .iter()
+            .filter(|target| target.has_grant(key))
+            .count()
+    }
+
+    /// Returns how often the targets executed the request with this id.
+    pub fn count_executions(&self, id: &str) -> u32 {
+        let all = self.boards.iter().chain(&self.crews);
+        all.map(|target| target.execution_count(id)).sum()
+    }
+}
+
+/// Polls until the condition holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until<A: Future<Output = bool>>(condition: impl Fn() -> A) {
+    let polling = async {
+        while !condition().await {
+            sleep(Duration::from_millis(20)).await;
+        }
+    };
+    timeout(WAIT_TIMEOUT, polling)
+        .await
+        .expect("condition holds in time");
+}
+
+/// Returns an idempotent request to the sharded service.
+pub fn lookup_request(id: &str, key: u64) -> Request<Full<Bytes>> {
+    request("GET", "/lookup/x?a=1", id, &key.to_string(), Bytes::new())
+}
+
+/// Returns a non-idempotent request to the sharded service.
+pub fn removal_request(id: &str, key: u64) -> Request<Full<Bytes>> {
+    request(
+        "POST",
+        "/remove/x",
+        id,
+        &key.to_string(),
+        Bytes::from_static(b"strip it"),
+    )
+}
+
+/// Returns a non-idempotent request to the unsharded service.
+pub fn booking_request(id: &str) -> Request<Full<Bytes>> {
+    request("PUT", "/book/x", id, "7", Bytes::from_static(b"book it"))
+}
+
+/// Returns a request with a deadline of 4 s.
+pub fn request(method: &str, path: &str, id: &str, key: &str, body: Bytes) -> Request<Full<Bytes>> {
+    Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", "front.example")
+        .header("x-request-id", id)
+        .header("x-shard-key", key)
+        .header("x-deadline-ms", "4000")
+        .body(Full::new(body))
+        .expect("a valid request")
+}
+
+/// Returns the options of a target; number 0 of a service is in the data centre `east`, the others
+/// in `west`.
+fn target_options(
+    id: &str,
+    service: &str,
+    sharded: bool,
+    slots: u32,
+    processing_time: Duration,
+) -> TargetOptions {
+    TargetOptions {
+        id: id.into(),
+        service: service.into(),
+        data_centre: if id.ends_with('0') { "east" } else { "west" }.into(),
+        sharded,
+        slots,
+        processing_time,
+        ..TargetOptions::default()
+    }
+}
+
+async fn fetch(address: SocketAddr, path: &str) -> Option<InstanceResponse> {
+    let request = Request::builder().uri(path).header("host", "x");
+    exchange(address, request.body(Full::default()).ok()?).await
+}
+
+async fn exchange(address: SocketAddr, request: Request<Full<Bytes>>) -> Option<InstanceResponse> {
+    let stream = TcpStream::connect(address).await.ok()?;
+    let (mut sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let driver = tokio::spawn(driver);
+    let response = timeout(WAIT_TIMEOUT, sender.send_request(request)).await;
+    let (head, body) = response.expect("a response in time").ok()?.into_parts();
+    let body = body.collect().await.ok()?.to_bytes();
+    driver.abort();
+    Some(InstanceResponse {
+        status: head.status,
+        headers: head.headers,
+        body,
+    })
+}
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,11 +1,11 @@
-//! Faults: drawn from a seed, one after the other, also while others last.
+//! Faults: drawn at random from a seed, injected for a time and undone; they may overlap.
 
 use {
     crate::{
-        fleet::{DATA_CENTRES, Place},
-        history::{History, What},
+        history::{EventKind, History},
         instance::Instance,
-        proxy::Way,
+        proxy::ProxyMode,
+        targets::{DATA_CENTRES, ProxiedTarget},
     },
     cowslip_adapter_standins::{
         config::build_config,
@@ -21,274 +21,319 @@
     },
 };
 
-/// Longest time in which a process that is stopped in order ends.
-const STOPPED: Duration = Duration::from_millis(6500);
-/// Period in which the end of a process is looked for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time after which the report of a target that crashed lapses.
-const LAPSE: Duration = Duration::from_millis(1500);
-/// Time for which a leaving target serves.
-const DRAIN: Duration = Duration::from_millis(3500);
+/// Time within which a process exits after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_millis(6500);
+/// Interval at which a stopping process is checked for its exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after a crash at which the report of the target is removed, as if it had expired.
+const REPORT_EXPIRY: Duration = Duration::from_millis(1500);
+/// Time for which a draining target keeps serving.
+const DRAIN_TIME: Duration = Duration::from_millis(3500);
 
-/// A deployment that faults are done to.
+/// A deployment under test.
 #[derive(Debug)]
-pub struct World {
-    /// The store.
+pub struct Deployment {
+    /// The store, which all instances use.
     pub store: FakeStore,
-    /// Targets.
-    pub places: Vec<Mutex<Place>>,
-    /// Instances.
+    /// Targets; a fault of a target holds its lock.
+    pub targets: Vec<Mutex<ProxiedTarget>>,
+    /// Instances; faults of a process hold its lock.
     pub instances: Vec<Mutex<Instance>>,
-    /// What happened.
+    /// History of the run.
     pub history: History,
-    /// Lets one withdrawal of a data centre after another.
-    pub withdrawing: [Mutex<()>; DATA_CENTRES.len()],
-    /// Version of the configuration, and the place in the history of what it says.
-    pub config: Mutex<(u32, Option<usize>)>,
+    /// One lock a data centre: its withdrawals run one after another, as the end of one would
+    /// restore the data centre during the next.
+    pub withdrawal_locks: [Mutex<()>; DATA_CENTRES.len()],
+    /// Number of the next configuration, and the index of the current configuration's event in the
+    /// history.
+    pub config_state: Mutex<(u32, Option<usize>)>,
 }
 
-/// A fault.
+/// A fault; targets, instances and data centres are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The store treats all calls like this.
+    /// The store handles all calls in this mode.
     Store(store::StoreMode),
-    /// One instance's way to the store, or that of all.
-    StoreWay(Option<usize>, Way),
-    /// The way to a target.
-    TargetWay(usize, Way),
-    /// A target answers like this.
+    /// The proxy between the store and one instance (`None`: all instances) is in this mode.
+    StoreProxy(Option<usize>, ProxyMode),
+    /// The proxy in front of a target is in this mode.
+    TargetProxy(usize, ProxyMode),
+    /// A target handles requests and commands in this mode.
     Target(usize, target::TargetMode),
-    /// A target ends and starts again.
-    Crash(usize),
-    /// A target leaves, and another run of it comes.
-    Leave(usize),
-    /// An instance is paused.
-    Pause(usize),
-    /// An instance is killed and starts again.
-    Kill(usize),
-    /// All instances are killed at once and start again.
-    KillAll,
-    /// An instance is stopped in order and starts again.
-    Stop(usize),
-    /// An instance reads its settings again.
-    Reload(usize),
-    /// Lookups go to the other service.
-    Config,
+    /// A target crashes and restarts.
+    CrashTarget(usize),
+    /// A target drains, stops and restarts.
+    DrainTarget(usize),
+    /// An instance is paused by SIGSTOP.
+    PauseInstance(usize),
+    /// An instance is killed and restarts.
+    KillInstance(usize),
+    /// All instances are killed at once and restart.
+    KillAllInstances,
+    /// An instance is shut down by SIGTERM and restarts.
+    StopInstance(usize),
+    /// An instance reloads its settings on SIGHUP.
+    ReloadSettings(usize),
+    /// A new configuration sends lookups to the other service.
+    SwitchConfig,
     /// A data centre is withdrawn and restored.
-    Withdraw(usize),
+    WithdrawDataCentre(usize),
 }
 
-/// Draws a fault and the time that it lasts.
-pub fn draw(random: &mut StdRng, instances: usize, targets: usize) -> (Fault, Duration) {
-    let time = Duration::from_millis(random.random_range(300..4000));
-    let short = Duration::from_millis(random.random_range(200..2500));
+/// Draws a fault and its duration.
+pub fn draw_fault(
+    random: &mut StdRng,
+    instance_count: usize,
+    target_count: usize,
+) -> (Fault, Duration) {
+    let duration = Duration::from_millis(random.random_range(300..4000));
+    let delay = Duration::from_millis(random.random_range(200..2500));
     let (instance, target) = (
-        random.random_range(0..instances),
-        random.random_range(0..targets),
+        random.random_range(0..instance_count),
+        random.random_range(0..target_count),
     );
-    let way = [
-        Way::Delayed(Duration::from_millis(random.random_range(20..400))),
-        Way::Reset,
-        Way::Deaf,
-        Way::Mute,
-        Way::Silent,
+    let proxy_mode = [
+        ProxyMode::Delay(Duration::from_millis(random.random_range(20..400))),
+        ProxyMode::Reset,
+        ProxyMode::DropFromClient,
+        ProxyMode::DropToClient,
+        ProxyMode::Blackhole,
     ][random.random_range(0..5)];
-    let whose = random.random_bool(0.6).then_some(instance);
-    let mood = [
+    let only = random.random_bool(0.6).then_some(instance);
+    let store_mode = [
         store::StoreMode::Unavailable,
         store::StoreMode::DropResponses,
-        store::StoreMode::DelayWrites(short),
-        store::StoreMode::DelayCalls(short / 5),
+        store::StoreMode::DelayWrites(delay),
+        store::StoreMode::DelayCalls(delay / 5),
         store::StoreMode::CompactedFeed,
     ][random.random_range(0..5)];
-    let manner = [
+    let target_mode = [
         target::TargetMode::CloseWithoutResponse,
-        target::TargetMode::DelayGrants(short),
+        target::TargetMode::DelayGrants(delay),
         target::TargetMode::Slowdown(10),
     ][random.random_range(0..3)];
     let fault = match random.random_range(0..14) {
-        0 => Fault::Store(mood),
-        1 | 2 => Fault::StoreWay(whose, way),
-        3 | 4 => Fault::TargetWay(target, way),
-        5 => Fault::Target(target, manner),
-        6 => Fault::Crash(target),
-        7 => Fault::Leave(target),
-        8 => Fault::Pause(instance),
-        9 => Fault::Kill(instance),
-        10 => Fault::Stop(instance),
-        11 if random.random_bool(0.3) => Fault::KillAll,
-        11 => Fault::Reload(instance),
-        12 => Fault::Config,
-        _ => Fault::Withdraw(random.random_range(0..DATA_CENTRES.len())),
+        0 => Fault::Store(store_mode),
+        1 | 2 => Fault::StoreProxy(only, proxy_mode),
+        3 | 4 => Fault::TargetProxy(target, proxy_mode),
+        5 => Fault::Target(target, target_mode),
+        6 => Fault::CrashTarget(target),
+        7 => Fault::DrainTarget(target),
+        8 => Fault::PauseInstance(instance),
+        9 => Fault::KillInstance(instance),
+        10 => Fault::StopInstance(instance),
+        11 if random.random_bool(0.3) => Fault::KillAllInstances,
+        11 => Fault::ReloadSettings(instance),
+        12 => Fault::SwitchConfig,
+        _ => Fault::WithdrawDataCentre(random.random_range(0..DATA_CENTRES.len())),
     };
-    (fault, time)
+    (fault, duration)
 }
 
-/// Does a fault for a time, then undoes it.
-pub async fn strike(world: Arc<World>, fault: Fault, time: Duration) {
+/// Injects a fault and undoes it; faults that end by themselves ignore `duration`.
+pub async fn inject_fault(deployment: Arc<Deployment>, fault: Fault, duration: Duration) {
     match fault {
-        Fault::Store(mood) => {
-            let place = world.history.begin(What::Store);
-            world.store.set_mode(mood);
-            sleep(time).await;
-            world.store.set_mode(store::StoreMode::Normal);
-            world.history.end(place);
+        Fault::Store(store_mode) => {
+            let store_event = deployment.history.begin_event(EventKind::StoreFault);
+            deployment.store.set_mode(store_mode);
+            sleep(duration).await;
+            deployment.store.set_mode(store::StoreMode::Normal);
+            deployment.history.end_event(store_event);
         }
-        Fault::StoreWay(whose, way) => store_way(&world, whose, way, time).await,
-        Fault::TargetWay(at, way) => {
-            let place = world.places[at].lock().await;
-            let noted = world.history.begin(What::Target(place.id.clone()));
-            place.proxy.set(way);
-            sleep(time).await;
-            place.proxy.set(Way::Open);
-            world.history.end(noted);
+        Fault::StoreProxy(only, mode) => set_store_proxy(&deployment, only, mode, duration).await,
+        Fault::TargetProxy(index, mode) => {
+            let proxied = deployment.targets[index].lock().await;
+            let event = deployment
+                .history
+                .begin_event(EventKind::TargetFault(proxied.id.clone()));
+            proxied.proxy.change_mode(mode);
+            sleep(duration).await;
+            proxied.proxy.change_mode(ProxyMode::Forward);
+            deployment.history.end_event(event);
         }
-        Fault::Target(at, mood) => {
-            let place = world.places[at].lock().await;
-            let noted = world.history.begin(What::Target(place.id.clone()));
-            place.set_mood(mood);
-            sleep(time).await;
-            place.set_mood(target::TargetMode::Normal);
-            world.history.end(noted);
+        Fault::Target(index, target_mode) => {
+            let proxied = deployment.targets[index].lock().await;
+            let event = deployment
+                .history
+                .begin_event(EventKind::TargetFault(proxied.id.clone()));
+            proxied.set_mode(target_mode);
+            sleep(duration).await;
+            proxied.set_mode(target::TargetMode::Normal);
+            deployment.history.end_event(event);
         }
-        Fault::Crash(at) => crash(&world, at, time).await,
-        Fault::Leave(at) => leave(&world, at, time).await,
-        Fault::Pause(at) => {
-            let mut instance = world.instances[at].lock().await;
-            let noted = world.history.begin(What::Pause(instance.name.clone()));
+        Fault::CrashTarget(index) => crash_target(&deployment, index, duration).await,
+        Fault::DrainTarget(index) => drain_target(&deployment, index, duration).await,
+        Fault::PauseInstance(index) => {
+            let mut instance = deployment.instances[index].lock().await;
+            let event = deployment
+                .history
+                .begin_event(EventKind::InstancePause(instance.name.clone()));
             instance.signal(Signal::SIGSTOP);
-            sleep(time).await;
+            sleep(duration).await;
             instance.signal(Signal::SIGCONT);
-            world.history.end(noted);
+            deployment.history.end_event(event);
         }
-        Fault::Kill(at) => kill(&world, at, time).await,
-        Fault::KillAll => {
-            let kills = (0..world.instances.len()).map(|at| {
-                let world = world.clone();
-                tokio::spawn(async move { kill(&world, at, time / 4).await })
+        Fault::KillInstance(index) => kill_instance(&deployment, index, duration).await,
+        Fault::KillAllInstances => {
+            let kills = (0..deployment.instances.len()).map(|index| {
+                let deployment = deployment.clone();
+                tokio::spawn(async move { kill_instance(&deployment, index, duration / 4).await })
             });
             for kill in kills.collect::<Vec<_>>() {
-                // A fault that panicked has said why.
+                // A panic of the task has already been printed.
                 let _ = kill.await;
             }
         }
-        Fault::Stop(at) => stop(&world, at).await,
-        Fault::Reload(at) => {
-            let mut instance = world.instances[at].lock().await;
-            instance.awaits_signals().await;
+        Fault::StopInstance(index) => stop_instance(&deployment, index).await,
+        Fault::ReloadSettings(index) => {
+            let mut instance = deployment.instances[index].lock().await;
+            instance.wait_for_signal_handlers().await;
             instance.signal(Signal::SIGHUP);
         }
-        Fault::Config => configure(&world).await,
-        Fault::Withdraw(at) => {
-            let _one = world.withdrawing[at].lock().await;
-            let noted = world
+        Fault::SwitchConfig => publish_next_config(&deployment).await,
+        Fault::WithdrawDataCentre(index) => {
+            let _guard = deployment.withdrawal_locks[index].lock().await;
+            let event = deployment
                 .history
-                .begin(What::Withdrawn(DATA_CENTRES[at].into()));
-            let key = format!("evacuate/{}", DATA_CENTRES[at]);
-            world.store.put("op", &key, b"{}");
-            sleep(2 * time + Duration::from_secs(4)).await;
-            world.history.end(noted);
-            world.store.remove("op", &key);
+                .begin_event(EventKind::Withdrawal(DATA_CENTRES[index].into()));
+            let key = format!("evacuate/{}", DATA_CENTRES[index]);
+            deployment.store.put("op", &key, b"{}");
+            sleep(2 * duration + Duration::from_secs(4)).await;
+            // Ended first, as requests after the restoration are allowed.
+            deployment.history.end_event(event);
+            deployment.store.remove("op", &key);
         }
     }
 }
 
-async fn store_way(world: &World, whose: Option<usize>, way: Way, time: Duration) {
-    let noted = world.history.begin(What::Store);
-    let all = 0..world.instances.len();
-    let chosen = all.filter(|at| whose.is_none_or(|one| one == *at));
-    let chosen: Vec<usize> = chosen.collect();
-    for at in &chosen {
-        world.instances[*at].lock().await.store.set(way);
+async fn set_store_proxy(
+    deployment: &Deployment,
+    only: Option<usize>,
+    mode: ProxyMode,
+    duration: Duration,
+) {
+    let event = deployment.history.begin_event(EventKind::StoreFault);
+    let all = 0..deployment.instances.len();
+    let indices = all.filter(|index| only.is_none_or(|it| it == *index));
+    let indices: Vec<usize> = indices.collect();
+    for index in &indices {
+        deployment.instances[*index]
+            .lock()
+            .await
+            .store_proxy
+            .change_mode(mode);
     }
-    sleep(time).await;
-    for at in &chosen {
-        world.instances[*at].lock().await.store.set(Way::Open);
+    sleep(duration).await;
+    for index in &indices {
+        deployment.instances[*index]
+            .lock()
+            .await
+            .store_proxy
+            .change_mode(ProxyMode::Forward);
     }
-    world.history.end(noted);
+    deployment.history.end_event(event);
 }
 
-async fn crash(world: &World, at: usize, time: Duration) {
-    let mut place = world.places[at].lock().await;
-    let noted = world.history.begin(What::Target(place.id.clone()));
-    place.crash();
-    if time > LAPSE {
-        sleep(LAPSE).await;
-        place.lapse(&world.store);
+async fn crash_target(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut proxied = deployment.targets[index].lock().await;
+    let event = deployment
+        .history
+        .begin_event(EventKind::TargetFault(proxied.id.clone()));
+    proxied.crash();
+    if duration > REPORT_EXPIRY {
+        sleep(REPORT_EXPIRY).await;
+        proxied.remove_report(&deployment.store);
     }
-    sleep(time).await;
-    come_back(world, &mut place).await;
-    world.history.end(noted);
+    sleep(duration).await;
+    restart_target(deployment, &mut proxied).await;
+    deployment.history.end_event(event);
 }
 
-async fn leave(world: &World, at: usize, time: Duration) {
-    let mut place = world.places[at].lock().await;
-    let noted = world.history.begin(What::Leave(place.id.clone()));
-    place.leave(&world.store);
-    sleep(DRAIN).await;
-    world.history.end(noted);
-    let gone = world.history.begin(What::Target(place.id.clone()));
-    place.crash();
-    place.lapse(&world.store);
-    sleep(time).await;
-    come_back(world, &mut place).await;
-    world.history.end(gone);
+async fn drain_target(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut proxied = deployment.targets[index].lock().await;
+    let event = deployment
+        .history
+        .begin_event(EventKind::TargetDrain(proxied.id.clone()));
+    proxied.report_draining(&deployment.store);
+    sleep(DRAIN_TIME).await;
+    deployment.history.end_event(event);
+    let stop_event = deployment
+        .history
+        .begin_event(EventKind::TargetFault(proxied.id.clone()));
+    proxied.crash();
+    proxied.remove_report(&deployment.store);
+    sleep(duration).await;
+    restart_target(deployment, &mut proxied).await;
+    deployment.history.end_event(stop_event);
 }
 
-/// Starts a target anew, which is cold then.
-async fn come_back(world: &World, place: &mut Place) {
-    let noted = world.history.begin(What::Cold(place.id.clone()));
-    place.come_back(&world.store).await;
-    world.history.end(noted);
+/// Restarts a target and records its cold start.
+async fn restart_target(deployment: &Deployment, proxied: &mut ProxiedTarget) {
+    let event = deployment
+        .history
+        .begin_event(EventKind::ColdStart(proxied.id.clone()));
+    proxied.restore(&deployment.store).await;
+    deployment.history.end_event(event);
 }
 
-async fn kill(world: &World, at: usize, time: Duration) {
-    let mut instance = world.instances[at].lock().await;
-    let noted = world.history.begin(What::Kill(instance.name.clone()));
+async fn kill_instance(deployment: &Deployment, index: usize, duration: Duration) {
+    let mut instance = deployment.instances[index].lock().await;
+    let event = deployment
+        .history
+        .begin_event(EventKind::InstanceKill(instance.name.clone()));
     instance.signal(Signal::SIGKILL);
     instance.wait();
-    sleep(time).await;
-    start(&mut instance);
-    world.history.end(noted);
+    sleep(duration).await;
+    start_instance(&mut instance);
+    deployment.history.end_event(event);
 }
 
-async fn stop(world: &World, at: usize) {
-    let mut instance = world.instances[at].lock().await;
-    instance.awaits_signals().await;
-    let noted = world.history.begin(What::Stop(instance.name.clone()));
+async fn stop_instance(deployment: &Deployment, index: usize) {
+    let mut instance = deployment.instances[index].lock().await;
+    instance.wait_for_signal_handlers().await;
+    let event = deployment
+        .history
+        .begin_event(EventKind::InstanceStop(instance.name.clone()));
     instance.signal(Signal::SIGTERM);
-    let gone = async {
-        while instance.runs() {
-            sleep(LOOK).await;
+    let exited = async {
+        while instance.is_running() {
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     };
-    if timeout(STOPPED, gone).await.is_err() {
-        let late = world.history.begin(What::Kill(instance.name.clone()));
-        eprintln!("{} did not end in time", instance.name);
+    if timeout(STOP_TIMEOUT, exited).await.is_err() {
+        let kill_event = deployment
+            .history
+            .begin_event(EventKind::InstanceKill(instance.name.clone()));
+        eprintln!(
+            "{} did not exit within {STOP_TIMEOUT:?} after SIGTERM",
+            instance.name
+        );
         instance.signal(Signal::SIGKILL);
-        world.history.end(late);
+        deployment.history.end_event(kill_event);
     }
     instance.wait();
-    start(&mut instance);
-    world.history.end(noted);
+    start_instance(&mut instance);
+    deployment.history.end_event(event);
 }
 
-fn start(instance: &mut Instance) {
+fn start_instance(instance: &mut Instance) {
     if let Err(error) = instance.spawn() {
-        eprintln!("{} does not start: {error:#}", instance.name);
+        eprintln!("{}: cannot start the process: {error:#}", instance.name);
     }
 }
 
-/// Sends lookups to the other service.
-pub async fn configure(world: &World) {
-    let mut state = world.config.lock().await;
-    let (version, former) = *state;
+/// Publishes the next configuration, which sends lookups to `boards` and `crews` in turn.
+pub async fn publish_next_config(deployment: &Deployment) {
+    let mut current = deployment.config_state.lock().await;
+    let (version, previous_event) = *current;
     let service = if version % 2 == 0 { "boards" } else { "crews" };
-    if let Some(former) = former {
-        world.history.end(former);
+    if let Some(previous) = previous_event {
+        deployment.history.end_event(previous);
     }
     let text = build_config(&format!("r{}", 7 * version + 1), service);
-    world.store.put("op", "config", text.as_bytes());
-    let noted = world.history.begin(What::Lookups(service.into()));
-    *state = (version + 1, Some(noted));
+    deployment.store.put("op", "config", text.as_bytes());
+    let event = deployment
+        .history
+        .begin_event(EventKind::LookupService(service.into()));
+    *current = (version + 1, Some(event));
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,126 +1,126 @@
-//! What happened in a run: what callers sent and got, and what was done to the deployment.
+//! History of a run: the requests of the callers, and the events of the deployment.
 
 use {
     std::sync::{Arc, Mutex, MutexGuard, PoisonError},
     tokio::time::Instant,
 };
 
-/// Kind of a request.
+/// Kind of a request: its service, and whether it is idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Repeatable, to a service that configurations change.
+pub enum RequestKind {
+    /// Idempotent, to the service that the configuration names.
     Lookup,
-    /// Not repeatable, to the divided service.
-    Order,
-    /// Not repeatable, to the undivided service.
+    /// Not idempotent, to the sharded service.
+    Removal,
+    /// Not idempotent, to the service that is not sharded.
     Booking,
 }
 
-/// What a caller got.
+/// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// An answer: its status, and whether its body is that of the request.
-    Answer(u16, bool),
-    /// The connection ended without a whole answer.
-    Cut,
-    /// The caller gave up.
-    Silence,
+pub enum Outcome {
+    /// Status of the response, and whether its body equals that of the request.
+    Response(u16, bool),
+    /// The connection closed before a complete response.
+    ConnectionClosed,
+    /// No response within the deadline and the grace time after it.
+    TimedOut,
 }
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// Id.
+pub struct RequestRecord {
+    /// Request ID.
     pub id: String,
     /// Kind.
-    pub kind: Kind,
-    /// Instance that it was sent to.
+    pub kind: RequestKind,
+    /// Name of the instance that received the request.
     pub instance: String,
-    /// When it was sent.
-    pub at: Instant,
-    /// When it ended.
-    pub until: Instant,
-    /// How it ended.
-    pub end: End,
+    /// Time at which it was sent.
+    pub sent_at: Instant,
+    /// Time of the response or failure.
+    pub ended_at: Instant,
+    /// Outcome.
+    pub outcome: Outcome,
 }
 
-/// What an event is about.
+/// Kind of an event: a fault, or a change of the deployment that checks depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
-    /// The store, or the way to it, is harmed.
-    Store,
-    /// A target, or the way to it, is harmed.
-    Target(String),
-    /// A target starts anew and is cold.
-    Cold(String),
-    /// An instance is paused.
-    Pause(String),
-    /// An instance is killed, until it serves again.
-    Kill(String),
-    /// An instance is stopped in order, until it serves again.
-    Stop(String),
-    /// A target reports that it leaves.
-    Leave(String),
-    /// A data centre is withdrawn.
-    Withdrawn(String),
-    /// A configuration sends lookups to this service.
-    Lookups(String),
+pub enum EventKind {
+    /// A fault of the store or of the connections to it.
+    StoreFault,
+    /// A fault of the target with this ID or of the connections to it.
+    TargetFault(String),
+    /// A cold start of the target with this ID.
+    ColdStart(String),
+    /// The instance with this name is paused.
+    InstancePause(String),
+    /// The instance with this name is killed; ends with its restart.
+    InstanceKill(String),
+    /// The instance with this name is shut down gracefully; ends with its restart.
+    InstanceStop(String),
+    /// The target with this ID reports that it is draining.
+    TargetDrain(String),
+    /// The data centre with this name is withdrawn.
+    Withdrawal(String),
+    /// The configuration sends lookups to the service with this name.
+    LookupService(String),
 }
 
-/// Something that was done, from one moment to another.
+/// An event with its duration.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// What it is about.
-    pub what: What,
-    /// When it began.
-    pub from: Instant,
-    /// When it ended; `None` while it lasts.
-    pub until: Option<Instant>,
+    /// Kind of the event, and what it concerns.
+    pub event_kind: EventKind,
+    /// Time at which it began.
+    pub started_at: Instant,
+    /// Time at which it ended; `None` while it lasts.
+    pub ended_at: Option<Instant>,
 }
 
-/// History of a run; clones share it.
+/// History of a run; clones share the data.
 #[derive(Clone, Debug, Default)]
-pub struct History(Arc<Mutex<Record>>);
+pub struct History(Arc<Mutex<HistoryData>>);
 
-/// Everything that a history has.
+/// Data of a history.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
-    /// Requests of callers.
-    pub sent: Vec<Sent>,
-    /// What was done.
+pub struct HistoryData {
+    /// Requests that have ended.
+    pub requests: Vec<RequestRecord>,
+    /// Events in the order of their beginning.
     pub events: Vec<Event>,
 }
 
 impl History {
-    /// Takes a request that has ended.
-    pub fn sent(&self, sent: Sent) {
-        self.record().sent.push(sent);
+    /// Adds a request that has ended.
+    pub fn add_request(&self, request: RequestRecord) {
+        self.lock_data().requests.push(request);
     }
 
-    /// Notes that something begins; returns its place.
-    pub fn begin(&self, what: What) -> usize {
-        let mut record = self.record();
-        record.events.push(Event {
-            what,
-            from: Instant::now(),
-            until: None,
+    /// Records the beginning of an event; returns its index for [`History::end_event`].
+    pub fn begin_event(&self, event_kind: EventKind) -> usize {
+        let mut data = self.lock_data();
+        data.events.push(Event {
+            event_kind,
+            started_at: Instant::now(),
+            ended_at: None,
         });
-        record.events.len() - 1
+        data.events.len() - 1
     }
 
-    /// Notes the end of what began.
-    pub fn end(&self, place: usize) {
-        if let Some(event) = self.record().events.get_mut(place) {
-            event.until = Some(Instant::now());
+    /// Records the end of the event with this index.
+    pub fn end_event(&self, index: usize) {
+        if let Some(event) = self.lock_data().events.get_mut(index) {
+            event.ended_at = Some(Instant::now());
         }
     }
 
-    /// Returns everything so far.
-    pub fn all(&self) -> Record {
-        self.record().clone()
+    /// Returns a copy of the data so far.
+    pub fn snapshot(&self) -> HistoryData {
+        self.lock_data().clone()
     }
 
-    fn record(&self) -> MutexGuard<'_, Record> {
+    fn lock_data(&self) -> MutexGuard<'_, HistoryData> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
