--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -126,7 +126,7 @@
     key_loads: BTreeMap<Name, KeyLoads>,
     /// Mean service time of targets in milliseconds.
     service_times: BTreeMap<Name, u32>,
-    /// Instances that report, by address.
+    /// Last report of each member.
     pub members: MemberReports,
 }
 
@@ -165,10 +165,10 @@
     let reports = context.peer_reports.borrow();
     let candidates = reports.members.iter();
     let candidates =
-        candidates.filter(|(address, heard)| heard.store_reachable && **address != own);
-    let members = candidates.map(|(address, heard)| Member {
+        candidates.filter(|(address, report)| report.store_reachable && **address != own);
+    let members = candidates.map(|(address, report)| Member {
         address: *address,
-        weight: heard.weight,
+        weight: report.weight,
     });
     Membership::new(members.collect()).strongest_except(own)
 }
@@ -179,24 +179,27 @@
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
     for member in context.membership.borrow().members() {
-        let heard = MemberReport {
+        let member_report = MemberReport {
             weight: member.weight,
             store_reachable: false,
             received_at: now,
         };
-        reports.members.entry(member.address).or_insert(heard);
+        reports
+            .members
+            .entry(member.address)
+            .or_insert(member_report);
     }
 }
 
 /// Applies an instance's report.
 pub fn apply_report(context: &Context, from: SocketAddr, report: InstanceReport) {
     let mut reports = context.peer_reports.borrow_mut();
-    let heard = MemberReport {
+    let member_report = MemberReport {
         weight: report.weight,
         store_reachable: report.store_reachable,
         received_at: Instant::now(),
     };
-    reports.members.insert(from, heard);
+    reports.members.insert(from, member_report);
     reports.service_times.extend(report.service_times);
     for (service, keys) in report.key_counts {
         let key_loads = reports.key_loads.entry(service).or_default();
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -52,7 +52,8 @@
 const STRONGER_FACTOR: u8 = 2;
 /// Shortest time between two such resignations.
 const RESIGN_INTERVAL: Duration = Duration::from_secs(20);
-/// Time after such a resignation in which the instance does not claim the row.
+/// Time after such a resignation in which the instance does not claim the row; long enough for the
+/// successor to read the free row and claim it.
 const CLAIM_PAUSE: Duration = Duration::from_millis(2500);
 
 /// Value of the leader's row.
--- a/crates/cowslipcross/src/lead/target_status.rs
+++ b/crates/cowslipcross/src/lead/target_status.rs
@@ -24,13 +24,13 @@
     let targets = context.targets.borrow();
     let withdrawn = context.withdrawn.borrow();
     let status = |view: &TargetView| {
-        let target = &view.report;
+        let report = &view.report;
         let status = TargetStatus {
-            incarnation: target.incarnation,
-            can_own: view.draining_since.is_none() && !withdrawn.contains_key(&target.data_centre),
+            incarnation: report.incarnation,
+            can_own: view.draining_since.is_none() && !withdrawn.contains_key(&report.data_centre),
             is_cold: view.is_cold(now),
         };
-        (target.id.clone(), status)
+        (report.id.clone(), status)
     };
     targets.for_service(service).map(status).collect()
 }
