--- a/crates/cowslipcross/src/serve/forward.rs
+++ b/crates/cowslipcross/src/serve/forward.rs
@@ -228,11 +228,11 @@
         context.reserve_retry(&request.service)
     });
     match (next, outcome) {
-        (NextAction::ReturnAnswer, ExchangeOutcome::Completed(response)) => {
+        (NextAction::ReturnResponse, ExchangeOutcome::Completed(response)) => {
             Step::Finish(RequestOutcome::Completed(response))
         }
         // Only complete responses are passed on.
-        (NextAction::ReturnAnswer, _) => Step::Finish(RequestOutcome::Failed(Reason::Broken)),
+        (NextAction::ReturnResponse, _) => Step::Finish(RequestOutcome::Failed(Reason::Broken)),
         (NextAction::ReturnError(error), _) => Step::Finish(error_outcome(error)),
         (NextAction::RetryOnChange(poll_interval), _) => Step::SelectOnChange(poll_interval),
         (NextAction::RetryAfter(delay), _) => {
--- a/crates/cowslipctl/src/explain.rs
+++ b/crates/cowslipctl/src/explain.rs
@@ -21,8 +21,9 @@
 
 /// Codes of events of moves, commands, the leader and the store that can affect a request.
 ///
-/// In the order of codes: owners adopted, owners recorded, target draining, store down, store up,
-/// leader gained, leader lost, target gone, keys released, command failed, release requested.
+/// In this order: assignments recorded, assignments updated, target draining, store unavailable,
+/// store available, leadership gained, leadership lost, target removed, keys released, command
+/// failed, release started.
 const RELATED_CODES: [&str; 11] = [
     "CC0210", "CC0206", "CC0405", "CC0603", "CC0604", "CC0608", "CC0609", "CC0612", "CC0613",
     "CC0614", "CC0616",
@@ -36,6 +37,7 @@
     /// Logical counter of that clock, which orders events of one millisecond.
     #[serde(default)]
     count: u32,
+    /// Instance that logged the line.
     process: String,
     code: String,
     text: String,
@@ -93,7 +95,7 @@
     serde_json::from_str(&text[text.find('{')?..]).ok()
 }
 
-/// Returns the lines of a request and the related ones around it, by key, target or process.
+/// Returns the lines of a request and the related ones around it, by key, target or instance.
 fn find_lines<'a>(lines: &'a [LogLine], id: &str) -> Vec<&'a LogLine> {
     let is_own = |line: &&LogLine| line.request.as_deref() == Some(id);
     let own_lines: Vec<&LogLine> = lines.iter().filter(is_own).collect();
@@ -110,16 +112,16 @@
         .iter()
         .filter_map(|line| line.target.as_deref())
         .collect();
-    let process = own_lines[0].process.as_str();
+    let instance = own_lines[0].process.as_str();
     let is_related = |line: &&LogLine| {
         let is_near = (first.saturating_sub(RELATED_BEFORE_MS)..=last + RELATED_AFTER_MS)
             .contains(&line.wall);
-        // Lines with a key are matched by key alone; of the others, only those of the process that
-        // served the request count, except that a new leader (CC0608) affects all instances.
+        // Lines with a key are matched by key alone; of the others, only those of the instance
+        // that served the request count, except that a new leader (CC0608) affects all instances.
         let is_about = match (&line.key, &line.target) {
             (Some(range), _) => key.is_some_and(|key| contains_key(range, key)),
-            (None, Some(target)) => line.process == process && targets.contains(&target.as_str()),
-            (None, None) => line.process == process || line.code == "CC0608",
+            (None, Some(target)) => line.process == instance && targets.contains(&target.as_str()),
+            (None, None) => line.process == instance || line.code == "CC0608",
         };
         line.request.is_none() && is_near && is_about && RELATED_CODES.contains(&line.code.as_str())
     };
--- a/crates/cowslipctl/src/timeline.rs
+++ b/crates/cowslipctl/src/timeline.rs
@@ -65,7 +65,7 @@
         .map_or("text", String::as_str)
 }
 
-/// Merges pages in causal order; equal timestamps are ordered by process, incarnation and number.
+/// Merges pages in causal order; equal timestamps are ordered by instance, incarnation and `seq`.
 pub fn merge_events(pages: &BTreeMap<Name, EventPage>, filter: &EventFilter) -> Vec<Event> {
     let all = pages.values().flat_map(|page| &page.events);
     let mut events: Vec<Event> = filter.select(all).into_iter().cloned().collect();
--- a/crates/cowslipctl/tests/explain.rs
+++ b/crates/cowslipctl/tests/explain.rs
@@ -30,13 +30,13 @@
     let cases = [
         // Refused under overload, with no related event.
         ("7c5ee32bd7d4ed08", vec!["CC0701"], "overload"),
-        // The target sent the answer to another request.
+        // The target sent the response to another request.
         (
             "9ea5b735c9cfa962",
             vec!["CC0510", "CC0701"],
             "answer to another request",
         ),
-        // The key moved; the former owner logged its release only after the request had failed.
+        // The key moved; the previous owner logged its release only after the request had failed.
         (
             "884036a8f1cd48e4",
             vec!["CC0702", "CC0702", "CC0701", "CC0613"],
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Decides what follows each attempt of a request: a retry, a wait, or the final answer.
+//! Decides what follows each attempt of a request: a retry, a wait, or the final response.
 //!
 //! Targets may refuse requests, break connections or be about to lose their keys. A request that is
 //! not idempotent is sent again only while it certainly has not run, and the caller gets an error
@@ -50,7 +50,7 @@
     Refused,
     /// No connection was available, so nothing was sent.
     Unsent,
-    /// The request was at least partly sent, and no whole answer came.
+    /// The request was at least partly sent, and no complete response came.
     Broken,
     /// The request was at least partly sent, and its deadline passed.
     DeadlinePassed,
@@ -59,8 +59,8 @@
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Return the target's answer to the caller.
-    ReturnAnswer,
+    /// Return the target's response to the caller.
+    ReturnResponse,
     /// Choose a target again after this time.
     RetryAfter(Duration),
     /// Choose a target again when owners or targets have changed, or after this time.
@@ -69,14 +69,14 @@
     ReturnError(FinalError),
 }
 
-/// Error that a caller gets instead of a target's answer.
+/// Error that a caller gets instead of a target's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalError {
     /// The request has not run and will not run.
     Refused(Reason),
-    /// The request may have run, and no answer will come.
+    /// The request may have run, and no response will come.
     Failed(Reason),
-    /// The request may have run, and its answer is no longer waited for.
+    /// The request may have run, and its response is no longer waited for.
     TimedOut,
 }
 
@@ -108,11 +108,11 @@
         match outcome {
             AttemptOutcome::Answered => {
                 self.run_count += 1;
-                NextAction::ReturnAnswer
+                NextAction::ReturnResponse
             }
             AttemptOutcome::ServerError => match self.record_run(policy, target, take_retry) {
                 true => NextAction::RetryAfter(Duration::ZERO),
-                false => NextAction::ReturnAnswer,
+                false => NextAction::ReturnResponse,
             },
             AttemptOutcome::Broken => match self.record_run(policy, target, take_retry) {
                 true => NextAction::RetryAfter(Duration::ZERO),
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -176,7 +176,7 @@
             return ElectionAction::Wait;
         }
         // A lease counts from the store timestamp in the row. If a claim contained one older than
-        // the row it replaces, the next reader of the row would also assume that the former
+        // the row it replaces, the next reader of the row would also assume that the previous
         // leader's grants end earlier than they do.
         match self.lease.is_none() && !self.has_fresh_timestamp(now) {
             true => ElectionAction::Read,
@@ -251,12 +251,12 @@
     }
 
     /// Applies a successful write: the row contains `row_timestamp` and has this version now.
-    /// `answer_timestamp` is the later one that came with the answer.
+    /// `response_timestamp` is the later one that came with the response.
     pub fn confirm_write(
         &mut self,
         row_timestamp: StoreTimestamp,
         version: u64,
-        answer_timestamp: StoreTimestamp,
+        response_timestamp: StoreTimestamp,
     ) {
         let row = LeaderRow {
             version,
@@ -264,10 +264,10 @@
             released: false,
             lease_start: Some(row_timestamp.store_time),
         };
-        self.set_row(row, answer_timestamp.sent_at.monotonic);
-        self.store_timestamp = Some(answer_timestamp);
+        self.set_row(row, response_timestamp.sent_at.monotonic);
+        self.store_timestamp = Some(response_timestamp);
         self.row_expiry = None;
-        let renewal_due = answer_timestamp.sent_at.monotonic + self.lease_ttl / RENEWAL_DIVISOR;
+        let renewal_due = response_timestamp.sent_at.monotonic + self.lease_ttl / RENEWAL_DIVISOR;
         self.lease = Some(Lease {
             start: row_timestamp.sent_at,
             renewal_due,
--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -1,9 +1,9 @@
 //! The leader's state machine for one service: grants keys, renews the grants and moves keys so
 //! that no two targets own one key at a time.
 //!
-//! Keys change their owner in this order: the old owner releases them, its last grant expires, or
-//! its process is known to have ended; the new owner is recorded with a higher fence; the new owner
-//! gets a grant. A grant without an answer may take effect late. Until such a late grant has
+//! Keys change their owner in this order: the previous owner releases them, its last grant expires,
+//! or its process is known to have ended; the new owner is recorded with a higher fence; the new
+//! owner gets a grant. A grant without a response may take effect late. Until such a late grant has
 //! expired, a release of its keys does not free them, unless the same owner has accepted a higher
 //! fence since, under which the target refuses the late grant.
 
@@ -82,7 +82,7 @@
         assignment: Assignment,
         /// Time for which the owner may serve the keys, on its own clock.
         ttl: Duration,
-        /// Handover value that the last owner returned with its release.
+        /// Handover data that the previous owner returned with its release.
         handover: Option<Name>,
     },
     /// Takes the keys back.
@@ -99,13 +99,13 @@
     Accepted,
     /// The target has seen a higher fence.
     StaleFence,
-    /// The target released the keys, with a handover value if it gave one.
+    /// The target released the keys, with handover data if it returned any.
     Released(Option<Name>),
     /// The command was not sent; counts as unanswered.
     Unsent,
     /// Another target answered at the owner's address, so the owner's process has ended.
     TargetEnded,
-    /// No answer: the command may have taken effect, or may do so later.
+    /// No response: the command may have taken effect, or may do so later.
     Unknown,
 }
 
@@ -115,7 +115,7 @@
 /// Most commands that [`AssignmentManager::next_commands`] starts at once; the next call continues.
 const COMMAND_BATCH_LIMIT: usize = 200;
 
-/// TTL of a grant as a multiple of the renewal interval.
+/// TTL of a grant as a multiple of the renewal interval, so that a grant outlasts two renewals.
 const TTL_RENEWAL_RATIO: f64 = 2.4;
 
 /// Longest renewal interval in relation to the longest TTL.
@@ -128,7 +128,7 @@
     delivery_limit + max_ttl.mul_f64(CLOCK_MARGIN)
 }
 
-/// Bounds on the grants of earlier leaders, in times of the store's clock.
+/// Bounds on the grants of previous leaders, in times of the store's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PreviousLeaders {
     /// Time after which none of their grants is in force; `None` if it is not recorded.
@@ -172,7 +172,7 @@
 }
 
 impl AssignmentManager {
-    /// Starts from the recorded owners. Grants of earlier leaders count as in force until their
+    /// Starts from the recorded owners. Grants of previous leaders count as in force until their
     /// known expiry, or else for the longest time that a grant can last.
     pub fn new(
         table: &AssignmentTable,
--- a/crates/decide/src/owners/rebalance.rs
+++ b/crates/decide/src/owners/rebalance.rs
@@ -22,8 +22,8 @@
 const MIN_DEVIATIONS: f64 = 1.2;
 /// Assignments for each target from which on none is split for a transfer.
 const MAX_ASSIGNMENTS_PER_TARGET: usize = 6;
-/// Base and number for each target of a second limit, the lower one for large services: each
-/// assignment costs the leader a renewal.
+/// Second limit, the lower one for large services, as each assignment costs the leader a renewal:
+/// the first number, plus the second one for each target.
 const LARGE_SERVICE_ASSIGNMENTS: (usize, usize) = (200, 2);
 /// Weight in requests at or below which a key's entry is removed.
 const MIN_TRACKED_WEIGHT: f64 = 0.02;
@@ -117,6 +117,7 @@
 /// Targets ordered by the ratio of load to capacity.
 #[derive(Debug)]
 pub struct TargetsByLoad {
+    /// Load and capacity of each target.
     loads: BTreeMap<Name, (f64, f64)>,
     /// Ratios as bits, which sort like the ratios because none is negative.
     order: BTreeSet<(u64, Name)>,
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -14,10 +14,10 @@
 /// to 2% slow, so that the grant ends later; 3% are added.
 pub(super) const CLOCK_MARGIN: f64 = 1.03;
 
-/// Consecutive commands without an answer after which keys are revoked from their owner.
+/// Consecutive commands without a response after which keys are revoked from their owner.
 pub(super) const MAX_UNANSWERED: u32 = 3;
 
-/// Consecutive commands without an answer after which the expiry of the owner's grant is recorded.
+/// Consecutive commands without a response after which the expiry of the owner's grant is recorded.
 ///
 /// Without that record, the next leader has to assume that the present one granted the keys just
 /// before it ended.
@@ -35,7 +35,7 @@
     pub assignment: Assignment,
     /// Latest time at which the owner's grant expires; `None` if the keys never had an owner.
     pub grant_end: Option<Instant>,
-    /// Latest time at which a late grant, one without an answer, expires.
+    /// Latest time at which a late grant, one without a response, expires.
     pub late_end: Option<Instant>,
     /// Highest fence of a late grant.
     pub late_fence: Fence,
@@ -49,11 +49,11 @@
     pub revocation: Option<Option<Name>>,
     /// Whether the keys wait for a new owner.
     pub is_free: bool,
-    /// Handover value that the last owner returned with its release, for the next grant.
+    /// Handover data that the previous owner returned with its release, for the next grant.
     pub handover: Option<Name>,
     /// Whether the owner has to get a higher fence with the next record.
     pub needs_fence: bool,
-    /// Consecutive commands that were not sent or got no answer.
+    /// Consecutive commands that were not sent or got no response.
     pub unanswered_count: u32,
 }
 
@@ -164,6 +164,7 @@
         }
     }
 
+    /// Applies the outcome of a command; `times` are those of its sending and of its outcome.
     pub fn handle_outcome(
         &mut self,
         command: &Command,
--- a/crates/decide/src/permits.rs
+++ b/crates/decide/src/permits.rs
@@ -41,9 +41,9 @@
 pub struct PermitRequest {
     /// Priority; 0 is the highest.
     pub priority: u8,
-    /// End of the time within which an answer is worth most.
+    /// End of the time within which a response is worth most.
     pub latency_goal: Instant,
-    /// Time by which the caller needs the answer.
+    /// Time by which the caller needs the response.
     pub deadline: Instant,
     /// Data centre of the instance that asks.
     pub data_centre: Name,
@@ -73,7 +73,7 @@
     Unused,
     /// No connection to the target could be opened.
     NotConnected,
-    /// No whole answer came.
+    /// No complete response came.
     Broken,
 }
 
@@ -167,7 +167,7 @@
         self.queue.len()
     }
 
-    /// Returns the smoothed service time of a target in seconds; `None` before its first answer.
+    /// Returns the smoothed service time of a target in seconds; `None` before its first response.
     pub fn service_time(&self, target: &str) -> Option<f64> {
         self.targets.get(target)?.service_time.seconds()
     }
@@ -206,7 +206,7 @@
 
     /// Removes a request that has ended or is no longer waiting, and its permit if it has one.
     ///
-    /// `slowdown` is what the target reported with its answer.
+    /// `slowdown` is what the target reported with its response.
     pub fn finish_request(
         &mut self,
         id: &PermitRequestId<A>,
--- a/crates/decide/src/service_time.rs
+++ b/crates/decide/src/service_time.rs
@@ -4,14 +4,14 @@
 
 /// Weight of a new sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.12;
-/// Service time that is assumed of a target without an answer so far, in seconds.
+/// Service time that is assumed of a target without a response so far, in seconds.
 pub const DEFAULT_SERVICE_TIME_S: f64 = 0.1;
 /// Weight of the requests in flight: on average each of them has half of its time left.
 const LOAD_WEIGHT: f64 = 0.5;
 /// Cost of a target in another data centre in relation to a local one.
 const REMOTE_COST_FACTOR: f64 = 1.5;
 
-/// Moving average of the time that a target takes to answer.
+/// Moving average of the time that a target takes to respond.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTime(Option<f64>);
 
@@ -31,14 +31,14 @@
 }
 
 impl ServiceTime {
-    /// Adds the time of an answer to the average.
+    /// Adds the time of a response to the average.
     pub fn record(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         let average = self.0.unwrap_or(seconds);
         self.0 = Some(average + SAMPLE_WEIGHT * (seconds - average));
     }
 
-    /// Returns the average in seconds; `None` before the first answer.
+    /// Returns the average in seconds; `None` before the first response.
     pub fn seconds(self) -> Option<f64> {
         self.0
     }
--- a/crates/decide/src/verdict.rs
+++ b/crates/decide/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether a request may have run, and why it got no answer of a target.
+//! Whether a request may have run, and why it got no response of a target.
 
 use std::fmt;
 
@@ -9,9 +9,9 @@
 pub enum Verdict {
     /// No byte of the request reached a target, or the target said that it did not run it.
     NotRun,
-    /// The target ran the request and its whole answer was received.
+    /// The target ran the request and its complete response was received.
     Ran,
-    /// The request was at least partly sent and no whole answer came back.
+    /// The request was at least partly sent and no complete response came back.
     MayHaveRun,
 }
 
@@ -43,12 +43,12 @@
     NoOwner,
     /// The target refused or shed the request without running it.
     Shed,
-    /// The connection broke or stopped responding before a whole answer came.
+    /// The connection broke or stopped responding before a complete response came.
     Broken,
 }
 
 impl Reason {
-    /// Returns the value used in answers and metrics.
+    /// Returns the value used in responses and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Overload => "overload",
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -11,7 +11,7 @@
     tokio::time::Instant,
 };
 
-const ORDER: RetryPolicy = RetryPolicy {
+const REMOVAL: RetryPolicy = RetryPolicy {
     idempotent: false,
     sharded: true,
     max_attempts: 3,
@@ -58,7 +58,10 @@
     for AnyOutcome(outcome) in outcomes {
         recorded.push(*outcome);
         let next = history.record_attempt(policy, &target, *outcome, || within_budget);
-        if matches!(next, NextAction::ReturnAnswer | NextAction::ReturnError(_)) {
+        if matches!(
+            next,
+            NextAction::ReturnResponse | NextAction::ReturnError(_)
+        ) {
             return (recorded, Some(next), history);
         }
     }
@@ -106,7 +109,7 @@
     assert_eq!(next, NextAction::RetryAfter(Duration::ZERO));
     assert_eq!(history.excluded.len(), 2);
     let mut history = AttemptHistory::default();
-    let next = history.record_attempt(ORDER, &first, AttemptOutcome::Refused, || true);
+    let next = history.record_attempt(REMOVAL, &first, AttemptOutcome::Refused, || true);
     assert!(matches!(next, NextAction::RetryAfter(wait) if wait > Duration::ZERO));
     assert!(history.excluded.is_empty());
 }
@@ -118,7 +121,7 @@
     let again = history.record_attempt(LOOKUP, &target, AttemptOutcome::ServerError, || true);
     assert_eq!(again, NextAction::RetryAfter(Duration::ZERO));
     let last = history.record_attempt(LOOKUP, &target, AttemptOutcome::ServerError, || true);
-    assert_eq!(last, NextAction::ReturnAnswer);
+    assert_eq!(last, NextAction::ReturnResponse);
     assert_eq!(history.final_error(Reason::Deadline), FinalError::TimedOut);
 }
 
--- a/crates/decide/tests/lead.rs
+++ b/crates/decide/tests/lead.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Simulates two minutes with store outages, lost answers, delayed writes and suspended machines;
+/// Simulates two minutes with store outages, lost responses, delayed writes and suspended machines;
 /// returns the number of ticks with a leader.
 fn simulate(seed: u64) -> u32 {
     let mut rng = StdRng::seed_from_u64(seed);
@@ -117,8 +117,8 @@
             }
             let now = machine.now();
             let action = machine.election.next_action(now, machine.claim_delay);
-            // Contains the local time of the call, not of the answer: the machine may be suspended
-            // in between.
+            // Contains the local time of the call, not of the response: the machine may be
+            // suspended in between.
             let time = StoreTimestamp {
                 store_time: TICK_LENGTH * tick,
                 sent_at: now,
--- a/crates/decide/tests/owners.rs
+++ b/crates/decide/tests/owners.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_release_frees_keys_only_after_its_answer() {
+fn a_release_frees_keys_only_after_its_response() {
     let now = Instant::now();
     let mut leader = AssignmentManager::new(
         &AssignmentTable::default(),
@@ -77,11 +77,11 @@
     assert!(matches!(grants.as_slice(), [Command::Grant { .. }]));
     leader.handle_outcome(&grants[0], CommandOutcome::Accepted, now, now);
     leader.review_owners(&candidates(&[("a", false), ("b", true)]), now);
-    let releases = leader.next_commands(false, now);
-    assert!(matches!(releases.as_slice(), [Command::Release { .. }]));
+    let release = leader.next_commands(false, now);
+    assert!(matches!(release.as_slice(), [Command::Release { .. }]));
     assert!(!leader.needs_recording(now));
     leader.handle_outcome(
-        &releases[0],
+        &release[0],
         CommandOutcome::Released(Some("h".into())),
         now,
         now,
@@ -126,10 +126,7 @@
     leader.next_commands(false, now);
     assert!(leader.needs_recording(now));
     let table = leader.propose_table(None, |_, _| Some(target("b")));
-    assert_eq!(
-        table.expect("free keys").assignments[0].owner,
-        Some(target("b"))
-    );
+    assert_eq!(table.expect("keys").assignments[0].owner, Some(target("b")));
 }
 
 #[test]
@@ -192,13 +189,8 @@
         latest: store_time(now),
     };
     let no_owner = |_: &Assignment, _: Option<&Name>| panic!("not free yet");
-    let table = leader
-        .propose_table(Some(bound), no_owner)
-        .expect("a record");
-    assert!(
-        table.changes_since(&owned("a")).is_empty(),
-        "owner and fence stay"
-    );
+    let table = leader.propose_table(Some(bound), no_owner).expect("record");
+    assert!(table.changes_since(&owned("a")).is_empty(), "owners differ");
     leader.apply_recorded(&table, now);
     assert!(!leader.needs_recording(now), "recorded only once");
 
@@ -260,9 +252,7 @@
     leader.review_owners(&candidates(&[("a", false)]), now);
     let release = leader.next_commands(false, now);
     leader.handle_outcome(&release[0], CommandOutcome::Released(None), now, now);
-    let table = leader
-        .propose_table(None, |_, _| None)
-        .expect("a higher fence");
+    let table = leader.propose_table(None, |_, _| None).expect("new fence");
     leader.apply_recorded(&table, now);
     for seconds in 0..4 {
         let at = now + Duration::from_secs(1) * seconds;
@@ -370,9 +360,9 @@
     assert!(most < 1.6 * mean, "most {most}, mean {mean}");
 }
 
-/// A late answer to a record must not free keys that were split from released ones meanwhile.
+/// A late response to a record must not free keys that were split from released ones meanwhile.
 #[test]
-fn a_late_answer_to_a_record_frees_only_released_keys() {
+fn a_late_response_to_a_record_frees_only_released_keys() {
     let now = Instant::now();
     let mut leader =
         AssignmentManager::new(&split(&["a", "b"]), TIMING, PreviousLeaders::default(), now);
@@ -383,7 +373,7 @@
         }
     };
     accept_all(&mut leader);
-    // The write that records a new owner for keys of b gets no answer.
+    // The write that records a new owner for keys of b gets no response.
     leader.start_transfer(60_000, 60_009, &"a".into(), later);
     for command in leader.next_commands(false, later) {
         leader.handle_outcome(&command, CommandOutcome::Released(None), later, later);
@@ -440,11 +430,8 @@
     for key in (16_384..32_768).step_by(100) {
         loads.add_requests(key as u16, 1.0);
     }
-    let transfers = rebalance(&split(&names), &loads, &uniform(&names), 6, |_| false);
-    assert!(
-        transfers.iter().any(|it| it.first >= 16_384),
-        "{transfers:?}"
-    );
+    let moved = rebalance(&split(&names), &loads, &uniform(&names), 6, |_| false);
+    assert!(moved.iter().any(|it| it.first >= 16_384), "{moved:?}");
 }
 
 #[test]
@@ -458,13 +445,9 @@
         assert!(keys > 10_000, "{empty}: {transfers:?}");
     }
     // No key is moved twice.
-    for (index, one) in transfers.iter().enumerate() {
-        let others = &transfers[index + 1..];
-        assert!(
-            others
-                .iter()
-                .all(|it| it.last < one.first || one.last < it.first)
-        );
+    for (index, a) in transfers.iter().enumerate() {
+        let rest = &transfers[index + 1..];
+        assert!(rest.iter().all(|b| b.last < a.first || a.last < b.first));
     }
 }
 
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -25,7 +25,7 @@
 };
 
 const TICK_LENGTH: Duration = Duration::from_millis(10);
-/// Time after which a grant, or a release whose answer was lost, counts as unanswered.
+/// Time after which a grant, or a release whose response was lost, counts as unanswered.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 /// Time of the store's clock at the start.
 const STORE_START: Duration = Duration::from_secs(1000);
@@ -93,7 +93,7 @@
     grants_end: Option<Instant>,
     is_healed: bool,
     commands: Vec<SentCommand>,
-    /// Write to the store without an answer.
+    /// Write to the store without a response.
     pending_record: Option<PendingRecord>,
 }
 
--- a/crates/decide/tests/permits.rs
+++ b/crates/decide/tests/permits.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_target_that_takes_no_connection_is_passed_over() {
+fn a_target_that_accepts_no_connection_is_skipped() {
     let now = Instant::now();
     let mut pool: Pool<u8> = Pool::default();
     pool.update_targets(&pool_targets(&[("a", None), ("b", None)]), now);
@@ -213,8 +213,8 @@
 }
 
 /// Simulates an overloaded target; returns the share of requests served within the latency goal, by
-/// priority. Without `prioritised` all requests ask with the same priority.
-fn simulate_overload(prioritised: bool) -> [f64; 3] {
+/// priority. Without `has_priorities`, all requests ask with the same priority.
+fn simulate_overload(has_priorities: bool) -> [f64; 3] {
     let mut rng = StdRng::seed_from_u64(7);
     let start = Instant::now();
     let mut pool: Pool<u8> = Pool::default();
@@ -240,7 +240,7 @@
             requests.insert(id, (priority, now + millis(600)));
             let reply = pool.request_permit(
                 id,
-                permit_request(if prioritised { priority } else { 0 }, now, 600, 2000),
+                permit_request(if has_priorities { priority } else { 0 }, now, 600, 2000),
                 now,
             );
             match reply {
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -23,7 +23,7 @@
     Response(u16, bool),
     /// The connection closed before a complete response.
     ConnectionClosed,
-    /// No response within the deadline and the grace time after it.
+    /// No response by the time limit after the deadline.
     TimedOut,
 }
 
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -32,7 +32,7 @@
     (
         5001,
         20,
-        "a target that restarted cold while the store was unreachable got its former load",
+        "a target that restarted cold while the store was unreachable got its previous load",
     ),
     (5032, 20, "as seed 5001"),
 ];
