--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -37,7 +37,7 @@
     pub store: FakeStore,
     /// Targets; a fault of a target holds its lock.
     pub targets: Vec<Mutex<ProxiedTarget>>,
-    /// Instances; faults of a process hold its lock.
+    /// Instances; a fault of an instance's process holds its lock.
     pub instances: Vec<Mutex<Instance>>,
     /// History of the run.
     pub history: History,
