--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -40,8 +40,8 @@
 pub const LEASE_TTL: Duration = Duration::from_millis(2500);
 /// Time since the last heartbeat after which an instance considers the leader lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// Number of instances assumed before the first heartbeat; high, so that this instance's part of
-/// the limits that all share starts small.
+/// Number of instances assumed before the first heartbeat; high, so that this instance's share
+/// of the limits that are divided among all starts small.
 const ASSUMED_INSTANCES: u32 = 100;
 /// Events kept for operators.
 const EVENT_CAPACITY: usize = 512;
@@ -129,10 +129,10 @@
     /// Withdrawn data centres, with the time at which this instance learned of it.
     pub withdrawn: RefCell<BTreeMap<Name, Instant>>,
     /// Assignments by service, as recorded in the store.
-    pub owners: RefCell<BTreeMap<Name, RecordedAssignments>>,
-    /// Number of requests for assignments that heartbeats did not contain in full, since the last
-    /// reply, and when the last one was sent.
-    pub owner_requests: Cell<(u32, Option<Instant>)>,
+    pub recorded_assignments: RefCell<BTreeMap<Name, RecordedAssignments>>,
+    /// Number of requests to the leader for assignments since its last reply, and when the last one
+    /// was sent.
+    pub assignment_requests: Cell<(u32, Option<Instant>)>,
     /// Keys whose owner refused a request a moment ago.
     pub blocked_keys: RefCell<BlockedKeys>,
     /// Connections to targets, with their load.
@@ -149,8 +149,9 @@
     /// grant of its writer is in force. The time is `None` if the row does not tell it; all is
     /// `None` before the first read.
     pub observed_row: Cell<Option<(u64, Option<Duration>)>>,
-    /// Time of [`Self::observed_row`] at the moment when this instance replaced that row as leader;
-    /// `None` if it is not known, or if grants of this instance itself may last longer.
+    /// Time on the store's clock after which no grant of the previous leader is in force, taken from
+    /// [`Self::observed_row`] when this instance replaced that row to become leader. `None` if it is
+    /// unknown, or if grants of this instance itself may last longer.
     pub grants_expire: Cell<Option<Duration>>,
     /// UDP socket for messages between instances.
     pub peer_socket: PeerSocket,
@@ -219,8 +220,8 @@
             target_updates: RefCell::default(),
             updates_missed: Notify::new(),
             withdrawn: RefCell::default(),
-            owners: RefCell::default(),
-            owner_requests: Cell::new((0, None)),
+            recorded_assignments: RefCell::default(),
+            assignment_requests: Cell::new((0, None)),
             blocked_keys: RefCell::default(),
             connections: RefCell::default(),
             retry_windows: RefCell::default(),
@@ -259,7 +260,11 @@
     /// Describes the versions and ages of the data used to route to a service, for the log.
     pub fn describe_views(&self, service: &str) -> String {
         let config = self.config.borrow().as_ref().map_or(0, |it| it.version);
-        let owners = self.owners.borrow().get(service).map_or(0, |it| it.version);
+        let owners = self
+            .recorded_assignments
+            .borrow()
+            .get(service)
+            .map_or(0, |it| it.version);
         let age = self.targets.borrow().age(Instant::now());
         let age = age.map_or_else(
             || "never".into(),
@@ -281,7 +286,8 @@
         self.election.borrow().is_leader(clock::local_time())
     }
 
-    /// Returns when grants of earlier leaders end and how far the store's clock is at least.
+    /// Returns when the grants of previous leaders have expired, and the earliest time that the
+    /// store's clock can show now.
     pub fn previous_leaders(&self) -> PreviousLeaders {
         PreviousLeaders {
             grants_expire: self.grants_expire.get(),
@@ -382,9 +388,9 @@
         let Some(config) = self.config.borrow().clone() else {
             return false;
         };
-        let owners = self.owners.borrow();
+        let all_recorded = self.recorded_assignments.borrow();
         let mut sharded = config.services.iter().filter(|(_, it)| it.sharded);
-        let has_owners = sharded.all(|(name, _)| owners.contains_key(name));
+        let has_owners = sharded.all(|(name, _)| all_recorded.contains_key(name));
         has_owners && self.targets.borrow().is_known() && self.stopping_since.get().is_none()
     }
 
--- a/crates/cowslipcross/src/lead/assignment_recorder.rs
+++ b/crates/cowslipcross/src/lead/assignment_recorder.rs
@@ -32,7 +32,7 @@
 }
 
 /// Starts to record new owners, fences and expiries if there are any and no recording is running.
-pub fn start(
+pub fn start_recording(
     context: &Rc<Context>,
     state: &Rc<RefCell<LeaderState>>,
     name: &Name,
@@ -100,7 +100,12 @@
     /// table or the last confirmed one. Any other comes from another leader; then the service's
     /// state is dropped.
     fn compare_with_store(&self, unconfirmed: &AssignmentTable) -> bool {
-        let stored = self.context.owners.borrow().get(&self.name).cloned();
+        let stored = self
+            .context
+            .recorded_assignments
+            .borrow()
+            .get(&self.name)
+            .cloned();
         let version = stored.as_ref().map_or(0, |it| it.version);
         let is_written = stored.is_some_and(|it| *it.table == *unconfirmed);
         let resolved = self.with_service(|service| {
@@ -148,9 +153,9 @@
     }
 
     fn finish_recording(&self, table: &AssignmentTable) -> bool {
-        let owners = self.context.owners.borrow();
-        let version = owners.get(&self.name).map_or(0, |it| it.version);
-        drop(owners);
+        let all_recorded = self.context.recorded_assignments.borrow();
+        let version = all_recorded.get(&self.name).map_or(0, |it| it.version);
+        drop(all_recorded);
         let applied = self.with_service(|service| {
             service.manager.apply_recorded(table, Instant::now());
             service.recorded_version = version;
@@ -198,7 +203,7 @@
                 // The target of the transfer that freed the keys, if there was one.
                 let preferred = preferred.filter(|preferred| capacities.contains_key(*preferred));
                 let chosen = match preferred.and_then(|preferred| incarnations.get(preferred)) {
-                    Some(incarnation) => incarnation,
+                    Some(target) => target,
                     None => incarnations.get(by_load.least_loaded()?)?,
                 };
                 by_load.add_load(
--- a/crates/cowslipcross/src/lead/assignment_rows.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows.rs
@@ -88,7 +88,7 @@
     #[serde(rename = "o")]
     owners: Vec<(Name, u64)>,
     /// Last known address of each owner, in the same order: an owner may still run although its
-    /// report has lapsed.
+    /// report has expired.
     #[serde(rename = "a", default)]
     addresses: Vec<Option<SocketAddr>>,
     /// Assignments, each up to the next one: first key, index of the owner, fence.
@@ -112,10 +112,10 @@
         let mut indices: BTreeMap<&TargetIncarnation, usize> = BTreeMap::new();
         let mut owners = Vec::new();
         let mut addresses = Vec::new();
-        let mut owner_index = |owner| {
-            *indices.entry(owner).or_insert_with(|| {
-                owners.push((owner.id.clone(), owner.incarnation));
-                addresses.push(find_address(owner));
+        let mut owner_index = |target| {
+            *indices.entry(target).or_insert_with(|| {
+                owners.push((target.id.clone(), target.incarnation));
+                addresses.push(find_address(target));
                 owners.len() - 1
             })
         };
@@ -144,11 +144,11 @@
     pub fn addresses(&self) -> Vec<(TargetIncarnation, SocketAddr)> {
         let known = self.owners.iter().zip(&self.addresses);
         let known = known.filter_map(|((id, incarnation), address)| {
-            let owner = TargetIncarnation {
+            let target = TargetIncarnation {
                 id: id.clone(),
                 incarnation: *incarnation,
             };
-            Some((owner, (*address)?))
+            Some((target, (*address)?))
         });
         known.collect()
     }
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -67,7 +67,7 @@
 fn addresses_of_owners_are_optional() {
     let table = table(2, 4);
     let second = table.assignments[1].owner.clone().expect("an owner");
-    let find_address = |owner: &TargetIncarnation| (*owner == second).then_some(ADDRESS);
+    let find_address = |target: &TargetIncarnation| (*target == second).then_some(ADDRESS);
     let value = AssignmentRowValue::new(&table, find_address);
     assert_eq!(value.addresses(), [(second.clone(), ADDRESS)]);
     let without_addresses = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -31,7 +31,7 @@
 };
 
 /// Longest time between two rounds of the leader loop.
-const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Additional pause after each round, for each target: a round costs CPU time for each of them.
 const PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
 /// Shortest time between two heartbeats, for each member.
@@ -43,7 +43,7 @@
 /// The same for a service with many assignments.
 const SLOW_RENEWAL_INTERVAL: Duration = Duration::from_millis(1100);
 /// Time after which a failed command is sent again.
-const RETRY_DELAY: Duration = Duration::from_millis(150);
+const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Longest time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay of a heartbeat with new owners, so that the grants to them usually arrive first.
@@ -216,7 +216,7 @@
     let mut announced = AnnouncedVersions::default();
     loop {
         // Starts a round after the interval, or earlier on a notification.
-        let _ = timeout(POLL_INTERVAL, context.leader_work.notified()).await;
+        let _ = timeout(ROUND_INTERVAL, context.leader_work.notified()).await;
         let epoch = context.election.borrow().epoch();
         if state.borrow().epoch != epoch {
             let mut state = state.borrow_mut();
@@ -225,7 +225,7 @@
         }
         if !context.is_leader() || context.leader_since.get().is_none() {
             // Here only the states of an old epoch have to be dropped, which may take longer.
-            let _ = timeout(4 * POLL_INTERVAL, context.leader_work.notified()).await;
+            let _ = timeout(4 * ROUND_INTERVAL, context.leader_work.notified()).await;
             continue;
         }
         for service in sharded_services(&context) {
@@ -260,11 +260,11 @@
 
 impl AnnouncedVersions {
     fn current(context: &Context) -> Self {
-        let owners = context.owners.borrow();
+        let all_recorded = context.recorded_assignments.borrow();
         Self {
             config: context.operator_version.get(),
             targets: context.targets.borrow().changed_version(),
-            owners: owners.values().map(|it| it.version).collect(),
+            owners: all_recorded.values().map(|it| it.version).collect(),
         }
     }
 }
@@ -305,7 +305,7 @@
         }
         start_transfers(context, service, name, &capacities);
     }
-    assignment_recorder::start(context, state, name, statuses, capacities);
+    assignment_recorder::start_recording(context, state, name, statuses, capacities);
     send_commands(context, state, name);
 }
 
@@ -316,7 +316,7 @@
     if state.services.contains_key(name) {
         return;
     }
-    let recorded = context.owners.borrow().get(name).cloned();
+    let recorded = context.recorded_assignments.borrow().get(name).cloned();
     let table = recorded
         .as_ref()
         .map_or_else(AssignmentTable::default, |it| (*it.table).clone());
@@ -327,7 +327,7 @@
         max_ttl: ttl_limit,
         renewal_interval: RENEWAL_INTERVAL,
         slow_renewal: SLOW_RENEWAL_INTERVAL,
-        retry_delay: RETRY_DELAY,
+        retry_delay: COMMAND_RETRY_DELAY,
         delivery_limit: command_sender::DELIVERY_LIMIT,
     };
     let service = ServiceState {
@@ -394,7 +394,7 @@
     let incarnations: BTreeMap<SocketAddr, u64> = incarnations.collect();
     let replaced = missing.into_iter().filter(|owner| {
         let address = context.target_address(owner);
-        let current = address.and_then(|address| incarnations.get(&address));
+        let current = address.and_then(|it| incarnations.get(&it));
         current.is_some_and(|incarnation| *incarnation > owner.incarnation)
     });
     replaced.cloned().collect()
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -27,7 +27,7 @@
 /// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Longest time between two steps of the election.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two reads in search of a leader, while no heartbeats arrive.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(600);
 /// Shortest time between two reads.
@@ -140,7 +140,7 @@
             && reads.is_due(&context);
         let can_claim = paused_until <= Instant::now() && context.stopping_since.get().is_none();
         match action {
-            ElectionAction::Write { version } if can_claim => claim(&context, version).await,
+            ElectionAction::Write { version } if can_claim => claim_row(&context, version).await,
             ElectionAction::Read if reads.is_due(&context) => {
                 reads.read(&context).await;
                 continue;
@@ -161,7 +161,7 @@
             last_resignation = Some(Instant::now());
         }
         // Continues after the interval, or at once if another instance requests a read.
-        let is_requested = timeout(POLL_INTERVAL, context.refresh_requested.notified())
+        let is_requested = timeout(STEP_INTERVAL, context.refresh_requested.notified())
             .await
             .is_ok();
         if is_requested && !context.is_leader() && reads.is_due(&context) {
@@ -204,8 +204,8 @@
 
 /// Releases the leader's row if a much stronger member could lead; returns whether it did.
 async fn resign_to_stronger(context: &Context) -> bool {
-    let since = context.leader_since.get();
-    if !context.is_leader() || since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
+    let led_since = context.leader_since.get();
+    if !context.is_leader() || led_since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
         return false;
     }
     let own = membership::cpu_weight(context.settings.cpu);
@@ -283,8 +283,8 @@
 /// Applies a service's assignments from the store unless a later version is known. The same version
 /// is replaced, too, as a row contains more than heartbeats do.
 fn apply_assignments(context: &Context, service: &str, row: &Row, all_rows: &[Row]) {
-    let mut owners = context.owners.borrow_mut();
-    let known = owners.get_mut(service);
+    let mut all_recorded = context.recorded_assignments.borrow_mut();
+    let known = all_recorded.get_mut(service);
     if known.as_ref().is_some_and(|it| it.version > row.version) {
         return;
     }
@@ -305,7 +305,7 @@
         row.version,
         table.assignments.len()
     );
-    owners.insert(
+    all_recorded.insert(
         service.into(),
         RecordedAssignments {
             version: row.version,
@@ -313,7 +313,7 @@
             last_change: None,
         },
     );
-    drop(owners);
+    drop(all_recorded);
     context.record_event(events::ASSIGNMENTS_UPDATED, detail);
     context.routing_changed.notify_waiters();
 }
@@ -331,7 +331,7 @@
 }
 
 /// Claims or renews the leader's row on the condition that it has this version.
-async fn claim(context: &Context, version: u64) {
+async fn claim_row(context: &Context, version: u64) {
     let guard = context.write_lock.lock().await;
     let (was_leader, sent) = (context.is_leader(), clock::local_time());
     let timestamp = timestamp_to_write(context, sent);
@@ -348,9 +348,7 @@
         context.leader_since.set(None);
         // Grants of the previous leader are known to expire only if its row was the one replaced.
         let previous = context.observed_row.get().filter(|it| it.0 == version);
-        context
-            .grants_expire
-            .set(previous.and_then(|(_, grants_end)| grants_end));
+        context.grants_expire.set(previous.and_then(|(_, end)| end));
     }
 }
 
@@ -429,14 +427,17 @@
         return RecordingOutcome::NotRecorded;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let row_version = context.election.borrow().row_version();
+    let leader_version = context.election.borrow().row_version();
     let value = AssignmentRowValue::new(table, |owner| context.target_address(owner));
     let Ok(mut writes) = assignment_rows::encode(service, &value) else {
         return RecordingOutcome::NotRecorded;
     };
     let sent = clock::local_time();
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [check(ROW_KEY, row_version), check(&key, previous_version)];
+    let checks = [
+        check(ROW_KEY, leader_version),
+        check(&key, previous_version),
+    ];
     writes.push(new_row(context, timestamp, None));
     let result = context
         .router_store
@@ -464,8 +465,8 @@
     (previous_version, version): (u64, u64),
     table: &AssignmentTable,
 ) {
-    let mut owners = context.owners.borrow_mut();
-    let previous = owners
+    let mut all_recorded = context.recorded_assignments.borrow_mut();
+    let previous = all_recorded
         .get(service)
         .filter(|it| it.version == previous_version);
     let change = previous.map(|previous| AssignmentChange {
@@ -478,7 +479,7 @@
         table: Rc::new(table.clone()),
         last_change: change,
     };
-    owners.insert(service.clone(), recorded);
+    all_recorded.insert(service.clone(), recorded);
 }
 
 /// Releases the leader's row before a shutdown, if this instance leads.
--- a/crates/cowslipcross/src/metrics.rs
+++ b/crates/cowslipcross/src/metrics.rs
@@ -111,14 +111,14 @@
     }
 
     /// Counts a response to a caller and its duration since the head of the request.
-    pub fn count_response(&self, route: &Route, answer: &RequestOutcome, duration: Duration) {
+    pub fn count_response(&self, route: &Route, outcome: &RequestOutcome, duration: Duration) {
         let priority = route.priority.to_string();
         let kind = match route.idempotent {
             true => "repeatable",
             false => "once",
         };
-        let reason = answer.reason().map_or("", |it| it.as_str());
-        let verdict = answer.verdict().as_str();
+        let reason = outcome.reason().map_or("", |it| it.as_str());
+        let verdict = outcome.verdict().as_str();
         self.responses
             .with_label_values(&[priority.as_str(), kind, verdict, reason])
             .inc();
@@ -135,46 +135,44 @@
     }
 
     /// Counts an attempt to send a request to a target.
-    pub fn count_attempt(&self, service: &str, end: &ExchangeOutcome) {
-        let outcome = match end {
-            ExchangeOutcome::Completed(whole) if whole.status.is_server_error() => "error",
+    pub fn count_attempt(&self, service: &str, outcome: &ExchangeOutcome) {
+        let end = match outcome {
+            ExchangeOutcome::Completed(response) if response.status.is_server_error() => "error",
             ExchangeOutcome::Completed(_) => "answer",
             ExchangeOutcome::NotExecuted(_) => "refused",
             ExchangeOutcome::Unsent(_) => "unsent",
             ExchangeOutcome::Broken(_) => "broken",
             ExchangeOutcome::TimedOut => "late",
         };
-        self.attempts.with_label_values(&[service, outcome]).inc();
+        self.attempts.with_label_values(&[service, end]).inc();
     }
 
     /// Counts a retry that was requested, and whether the retry budget allowed it.
     pub fn count_retry(&self, service: &str, allowed: bool) {
-        let outcome = if allowed { "sent" } else { "refused" };
-        self.retries.with_label_values(&[service, outcome]).inc();
+        let end = if allowed { "sent" } else { "refused" };
+        self.retries.with_label_values(&[service, end]).inc();
     }
 
     /// Counts a call to the store.
     pub fn count_store_call(&self, operation: &str, ok: bool) {
-        let outcome = if ok { "ok" } else { "failed" };
-        self.store_calls
-            .with_label_values(&[operation, outcome])
-            .inc();
+        let end = if ok { "ok" } else { "failed" };
+        self.store_calls.with_label_values(&[operation, end]).inc();
     }
 
     /// Counts a command to a target.
-    pub fn count_command(&self, command: &Command, result: &CommandOutcome) {
+    pub fn count_command(&self, command: &Command, outcome: &CommandOutcome) {
         let kind = match command {
             Command::Grant { .. } => "grant",
             Command::Release { .. } => "release",
         };
-        let outcome = match result {
+        let end = match outcome {
             CommandOutcome::Accepted | CommandOutcome::Released(_) => "done",
             CommandOutcome::StaleFence => "outdated",
             CommandOutcome::Unsent => "unsent",
             CommandOutcome::TargetEnded => "ended",
             CommandOutcome::Unknown => "unknown",
         };
-        self.commands.with_label_values(&[kind, outcome]).inc();
+        self.commands.with_label_values(&[kind, end]).inc();
     }
 
     /// Counts a datagram that could not be sent or read.
--- a/crates/cowslipcross/src/peers.rs
+++ b/crates/cowslipcross/src/peers.rs
@@ -1,8 +1,8 @@
 //! UDP messages between instances: the leader's heartbeats, the other instances' reports, permits.
 //!
 //! Every datagram may be lost: an instance that receives no heartbeats reads the store instead, keys
-//! whose load is unknown are spread evenly, and a request without an answer about its permit is sent
-//! without one.
+//! whose load is unknown are spread evenly, and a request whose permit request gets no reply is
+//! sent without a permit.
 
 mod assignments;
 pub mod datagram;
--- a/crates/cowslipcross/src/peers/assignments.rs
+++ b/crates/cowslipcross/src/peers/assignments.rs
@@ -21,7 +21,7 @@
 const CHANGE_MAX_AGE: Duration = Duration::from_millis(700);
 /// Time after which assignments are requested again if there was no reply.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
-/// Requests in a row, for any service, without a reply after which the store is read instead.
+/// Unanswered requests in a row, for any services, after which the store is read instead.
 const MAX_REQUESTS: u32 = 3;
 /// A larger change is left out of heartbeats.
 const MAX_CHANGED_ASSIGNMENTS: usize = 200;
@@ -30,8 +30,8 @@
 
 /// Returns the versions of recorded assignments by service, with recent changes, for a heartbeat.
 pub fn current_updates(context: &Context) -> BTreeMap<Name, AssignmentUpdate> {
-    let owners = context.owners.borrow();
-    let updates = owners.iter().map(|(name, it)| {
+    let all_recorded = context.recorded_assignments.borrow();
+    let updates = all_recorded.iter().map(|(name, it)| {
         let recent = it
             .last_change
             .as_ref()
@@ -58,18 +58,18 @@
     update: &AssignmentUpdate,
     leader: SocketAddr,
 ) {
-    let owners = context.owners.borrow();
-    let known = owners.get(service);
+    let all_recorded = context.recorded_assignments.borrow();
+    let known = all_recorded.get(service);
     if known.is_some_and(|it| it.version >= update.version) {
         return;
     }
     let matching = known.filter(|it| it.version == update.base_version);
     let Some(known) = matching else {
-        drop(owners);
+        drop(all_recorded);
         return request_assignments(context, service, (update.large_table, leader));
     };
     let mut table = (*known.table).clone();
-    drop(owners);
+    drop(all_recorded);
     let assignments: Vec<Assignment> = update.assignments.iter().map(Assignment::from).collect();
     table.apply_changes(&assignments);
     set_assignments(context, service, update.version, table);
@@ -82,12 +82,12 @@
     service: &Name,
     (large_table, leader): (bool, SocketAddr),
 ) {
-    let (requests, last_request) = context.owner_requests.get();
+    let (requests, last_request) = context.assignment_requests.get();
     if last_request.is_some_and(|at| at.elapsed() < REQUEST_INTERVAL) {
         return;
     }
     context
-        .owner_requests
+        .assignment_requests
         .set((requests + 1, Some(Instant::now())));
     match requests < MAX_REQUESTS && !large_table {
         true => datagram::try_send(
@@ -100,9 +100,9 @@
 }
 
 /// Sends all assignments of a service if this instance is the leader.
-pub fn on_request(context: &Context, service: &Name, from: SocketAddr) {
-    let owners = context.owners.borrow();
-    let Some(known) = owners.get(service).filter(|_| context.is_leader()) else {
+pub fn handle_request(context: &Context, service: &Name, from: SocketAddr) {
+    let all_recorded = context.recorded_assignments.borrow();
+    let Some(known) = all_recorded.get(service).filter(|_| context.is_leader()) else {
         return;
     };
     let update = AssignmentUpdate {
@@ -116,10 +116,10 @@
 }
 
 /// Applies all assignments of a service if they are newer and complete.
-pub fn on_response(context: &Context, service: &Name, update: &AssignmentUpdate) {
-    let owners = context.owners.borrow();
-    let known = owners.get(service).map_or(0, |it| it.version);
-    drop(owners);
+pub fn handle_response(context: &Context, service: &Name, update: &AssignmentUpdate) {
+    let all_recorded = context.recorded_assignments.borrow();
+    let known = all_recorded.get(service).map_or(0, |it| it.version);
+    drop(all_recorded);
     let assignments: Vec<Assignment> = update.assignments.iter().map(Assignment::from).collect();
     let highest = assignments.iter().map(|it| it.fence).max();
     let table = AssignmentTable {
@@ -136,13 +136,16 @@
         "service {service}, version {version}, {} assignments, from the leader",
         table.assignments.len()
     );
-    let owners = RecordedAssignments {
+    let recorded = RecordedAssignments {
         version,
         table: Rc::new(table),
         last_change: None,
     };
-    context.owners.borrow_mut().insert(service.clone(), owners);
-    context.owner_requests.set((0, None));
+    context
+        .recorded_assignments
+        .borrow_mut()
+        .insert(service.clone(), recorded);
+    context.assignment_requests.set((0, None));
     context.record_event(events::ASSIGNMENTS_UPDATED, detail);
     context.routing_changed.notify_waiters();
 }
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -67,12 +67,14 @@
 
 fn handle_message(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Heartbeat(heartbeat) => heartbeat_protocol::on_heartbeat(context, heartbeat, from),
-        Message::Members(members) => heartbeat_protocol::on_members(context, &members),
-        Message::AssignmentsRequest(name) => assignments::on_request(context, &name, from),
-        Message::Assignments(name, update) => assignments::on_response(context, &name, &update),
+        Message::Heartbeat(heartbeat) => {
+            heartbeat_protocol::handle_heartbeat(context, heartbeat, from)
+        }
+        Message::Members(members) => heartbeat_protocol::handle_members(context, &members),
+        Message::AssignmentsRequest(name) => assignments::handle_request(context, &name, from),
+        Message::Assignments(name, update) => assignments::handle_response(context, &name, &update),
         Message::LeadershipOffer => context.refresh_requested.notify_one(),
-        Message::Report(report) => heartbeat_protocol::on_report(context, report, from),
+        Message::Report(report) => heartbeat_protocol::handle_report(context, report, from),
         permit_message => permits::handle_message(context, permit_message, from),
     }
 }
--- a/crates/cowslipcross/src/peers/fragments_tests.rs
+++ b/crates/cowslipcross/src/peers/fragments_tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn message(length: usize) -> Vec<u8> {
-    (0..length).map(|at| b'{' + (at % 3) as u8).collect()
+    (0..length).map(|index| b'{' + (index % 3) as u8).collect()
 }
 
 #[test]
--- a/crates/cowslipcross/src/peers/heartbeat_protocol.rs
+++ b/crates/cowslipcross/src/peers/heartbeat_protocol.rs
@@ -42,7 +42,7 @@
 
 /// Applies a heartbeat, unless the version of the leader's row shows that the sender no longer
 /// leads.
-pub fn on_heartbeat(context: &Context, heartbeat: LeaderHeartbeat, from: SocketAddr) {
+pub fn handle_heartbeat(context: &Context, heartbeat: LeaderHeartbeat, from: SocketAddr) {
     context
         .events
         .observe_timestamp(HybridTimestamp::from(heartbeat.timestamp));
@@ -63,7 +63,7 @@
 }
 
 /// Replaces the membership by the one that the leader sent.
-pub fn on_members(context: &Context, text: &str) {
+pub fn handle_members(context: &Context, text: &str) {
     match Membership::parse(text) {
         Some(membership) => *context.membership.borrow_mut() = membership,
         None => context.metrics.count_bad_datagram(),
@@ -71,7 +71,7 @@
 }
 
 /// Records a report; the leader sends its membership if that of the reporting instance differs.
-pub fn on_report(context: &Context, report: InstanceReport, from: SocketAddr) {
+pub fn handle_report(context: &Context, report: InstanceReport, from: SocketAddr) {
     context
         .events
         .observe_timestamp(HybridTimestamp::from(report.timestamp));
@@ -102,7 +102,7 @@
         match context.leader_address.get() {
             // The leader handles its own report without sending it.
             Some(own) if own == context.settings.listen.heartbeats => {
-                on_report(&context, report, own);
+                handle_report(&context, report, own);
             }
             Some(leader) => datagram::try_send(&context, &Message::Report(report), leader),
             None => {}
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -165,7 +165,7 @@
     };
     let metadata = headers::parse_response_head(response.status(), response.headers());
     if !headers::has_request_id(response.headers(), &request.id) && !metadata.not_executed {
-        return Some(ExchangeOutcome::Broken("answer to another request"));
+        return Some(ExchangeOutcome::Broken("response to another request"));
     }
     if let Some(load) = metadata.load {
         active
--- a/crates/cowslipcross/src/serve/forward.rs
+++ b/crates/cowslipcross/src/serve/forward.rs
@@ -240,7 +240,7 @@
                 attempt,
                 AttemptOutcome::ServerError | AttemptOutcome::Broken
             ) {
-                record_event(context, events::RETRY, request, target, "repeatable");
+                record_event(context, events::RETRY, request, target, "idempotent");
             }
             Step::SelectAfter(delay)
         }
@@ -284,12 +284,12 @@
 
 /// Blocks the assignment of the request's key: its owner refused the request.
 fn block_keys(context: &Context, request: &CallerRequest) {
-    let owners = context.owners.borrow();
-    if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
+    let all_recorded = context.recorded_assignments.borrow();
+    if let (Some(recorded), Some(key)) = (all_recorded.get(&request.service), request.key) {
         let mut blocked = context.blocked_keys.borrow_mut();
         blocked.record_refusal(
             &request.service,
-            owners.table.assignment(key),
+            recorded.table.assignment(key),
             Instant::now(),
         );
     }
@@ -297,10 +297,10 @@
 
 /// Unblocks the assignment of the request's key: its owner answered the request.
 fn unblock_keys(context: &Context, request: &CallerRequest) {
-    let owners = context.owners.borrow();
-    if let (Some(owners), Some(key)) = (owners.get(&request.service), request.key) {
+    let all_recorded = context.recorded_assignments.borrow();
+    if let (Some(recorded), Some(key)) = (all_recorded.get(&request.service), request.key) {
         let mut blocked = context.blocked_keys.borrow_mut();
-        blocked.unblock(&request.service, owners.table.assignment(key));
+        blocked.unblock(&request.service, recorded.table.assignment(key));
     }
 }
 
--- a/crates/cowslipcross/src/serve/permits.rs
+++ b/crates/cowslipcross/src/serve/permits.rs
@@ -151,7 +151,7 @@
     }
 }
 
-/// Creates a permit that is not granted yet, and the place for the coordinator's replies.
+/// Creates a permit that is not granted yet, and the entry that receives the coordinator's replies.
 fn create_permit(context: &Rc<Context>, coordinator: SocketAddr) -> (Permit, Rc<PendingReply>) {
     let permits = &context.permits;
     let number = permits.next_number.get();
@@ -335,7 +335,7 @@
     times.collect()
 }
 
-/// Processes the queues of the pools at intervals until the task is aborted.
+/// Processes the queues of the pools at intervals; never returns.
 pub async fn process_queues(context: Rc<Context>) {
     loop {
         let has_queued = context
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -27,9 +27,8 @@
 const ASSUMED_SLOTS: u32 = 2;
 /// Random factor on expected response times, so that equal targets get equal parts.
 const COST_JITTER: RangeInclusive<f64> = 0.9..=1.1;
-/// Time after which a target is selected again when configuration, owners or targets have not
-/// changed.
-const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after which a target is selected again if the routing data have not changed.
+const RESELECT_INTERVAL: Duration = Duration::from_millis(150);
 /// Part of a cold target's rate that all instances together use without permits; below 1 as each
 /// instance counts only its own requests.
 const NO_PERMIT_RATE_FACTOR: f64 = 0.9;
@@ -54,12 +53,12 @@
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let Some(service) = service else {
-        return Selection::Refuse(POLL_INTERVAL);
+        return Selection::Refuse(RESELECT_INTERVAL);
     };
     let targets = context.targets.borrow().clone();
     match request.key {
         Some(key) => select_owner(context, request, (&targets, key), now),
-        None if service.sharded => Selection::Refuse(POLL_INTERVAL),
+        None if service.sharded => Selection::Refuse(RESELECT_INTERVAL),
         None => Selection::AnyTarget,
     }
 }
@@ -71,11 +70,11 @@
     (targets, key): (&TargetSnapshot, u16),
     now: Instant,
 ) -> Selection {
-    let owners = context.owners.borrow();
-    let Some(owners) = owners.get(&request.service) else {
-        return Selection::Wait(POLL_INTERVAL);
+    let all_recorded = context.recorded_assignments.borrow();
+    let Some(recorded) = all_recorded.get(&request.service) else {
+        return Selection::Wait(RESELECT_INTERVAL);
     };
-    let assigned = owners.table.assignment(key);
+    let assigned = recorded.table.assignment(key);
     if let Some(wait) =
         context
             .blocked_keys
@@ -85,19 +84,19 @@
         return Selection::Wait(wait);
     }
     let Some(owner_incarnation) = assigned.owner.as_ref() else {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     };
     let Some(view) = targets
         .get(&owner_incarnation.id)
         .filter(|it| it.report.incarnation == owner_incarnation.incarnation)
     else {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     };
     let is_drain_over = |since: Instant| now - since > OWNER_DRAIN_TIME;
     if view.draining_since.is_some_and(is_drain_over)
         || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
     {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     }
     Selection::Owner(connections_to(context, view, now), view.report.id.clone())
 }
@@ -176,7 +175,7 @@
     if let Some((connections, view, _)) = best {
         return Ok((connections, view.report.id.clone()));
     }
-    let mut retry_after = POLL_INTERVAL;
+    let mut retry_after = RESELECT_INTERVAL;
     for view in available {
         match take_cold_token(context, request, &view.report.id) {
             Ok(()) => return Ok((connections_to(context, view, now), view.report.id.clone())),
--- a/crates/cowslipcross/src/status.rs
+++ b/crates/cowslipcross/src/status.rs
@@ -57,8 +57,10 @@
 impl From<&Context> for Status {
     fn from(context: &Context) -> Self {
         let config = context.config.borrow();
-        let owners = context.owners.borrow();
-        let versions = owners.iter().map(|(name, it)| (name.clone(), it.version));
+        let all_recorded = context.recorded_assignments.borrow();
+        let versions = all_recorded
+            .iter()
+            .map(|(name, it)| (name.clone(), it.version));
         Self {
             name: context.settings.name.clone(),
             data_centre: context.settings.data_centre.clone(),
--- a/crates/cowslipcross/src/stop.rs
+++ b/crates/cowslipcross/src/stop.rs
@@ -21,7 +21,7 @@
 /// The process exits this long before the end of the grace period, at which it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(250);
 /// Interval of the checks for open connections and requests.
-const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits for the signal, then serves until connections and requests have ended or the grace period
 /// is nearly over.
@@ -46,7 +46,7 @@
     while Instant::now() < deadline
         && (connections.open_count() > 0 || context.active_requests.get() > 0)
     {
-        sleep(POLL_INTERVAL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     let detail = format!("{} requests in progress", context.active_requests.get());
     context.record_event(events::SHUTDOWN_FINISHED, detail);
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -12,11 +12,11 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Time for which the store holds a call open to wait for a change while no leader is heard. A dead
-/// connection is noticed after this and [`CALL_TIMEOUT`].
-const WAIT_TIME: Duration = Duration::from_millis(2400);
+/// Time for which the store holds a call open to wait for a change, if no heartbeats of a leader
+/// would report one. A dead connection is noticed after this and [`CALL_TIMEOUT`].
+const LONG_POLL_TIME: Duration = Duration::from_millis(2400);
 /// The same for a follower; longer, as heartbeats report changes.
-const FOLLOWER_WAIT_TIME: Duration = Duration::from_secs(28);
+const FOLLOWER_LONG_POLL_TIME: Duration = Duration::from_secs(28);
 /// Time within which the store has to answer, beyond the time that it may wait for a change.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between checks whether a waiting call has to be abandoned.
@@ -52,9 +52,9 @@
 /// everything has to be read.
 async fn wait_for_changes(context: &Context, version: u64) -> Result<Option<u64>, Error> {
     let wait = if context.is_follower() {
-        FOLLOWER_WAIT_TIME
+        FOLLOWER_LONG_POLL_TIME
     } else {
-        WAIT_TIME
+        LONG_POLL_TIME
     };
     let changes = context
         .watch_store
@@ -66,7 +66,7 @@
     Ok(Some(rows.store_version.max(version)))
 }
 
-/// Returns when the waiting call has missed a change, or has lasted too long without a leader to
+/// Returns when the waiting call has missed a change, or has lasted too long while no heartbeats
 /// report changes.
 async fn wait_until_stale(context: &Context) {
     let started_at = Instant::now();
@@ -76,7 +76,8 @@
         if context.is_config_stale() {
             sleep(STALE_GRACE).await;
         }
-        let is_overdue = !context.is_follower() && started_at.elapsed() > WAIT_TIME + CALL_TIMEOUT;
+        let is_overdue =
+            !context.is_follower() && started_at.elapsed() > LONG_POLL_TIME + CALL_TIMEOUT;
         if is_overdue || context.is_config_stale() {
             return;
         }
--- a/crates/cowslipcross/src/views/store_health.rs
+++ b/crates/cowslipcross/src/views/store_health.rs
@@ -8,7 +8,7 @@
 };
 
 /// Delay after a failed call; multiplied by the number of failures in a row.
-const RETRY_DELAY: Duration = Duration::from_millis(600);
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(600);
 /// Upper bound of the delay. Without a leader, the leader election calls the store more often, and
 /// its first answered call ends the delays of all tasks.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(2400);
@@ -46,7 +46,7 @@
 
     /// Waits for the retry delay, or until the store answers another task.
     pub async fn wait_to_retry(&self, context: &Context) {
-        let delay = (RETRY_DELAY * self.failures.max(1)).min(MAX_RETRY_DELAY);
+        let delay = (CALL_RETRY_DELAY * self.failures.max(1)).min(MAX_RETRY_DELAY);
         // Instances whose calls failed together must not retry together.
         let delay = delay.mul_f64(rand::random_range(JITTER_FACTOR));
         // The task retries in either case.
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -8,7 +8,7 @@
     tokio::time::Instant,
 };
 
-/// Time without a confirmation of the snapshot after which missing reports may have lapsed because
+/// Time without a confirmation of the snapshot after which missing reports may have expired because
 /// the store was unavailable to the targets, too.
 const MAX_READ_GAP: Duration = Duration::from_millis(2200);
 /// Time after the store has recovered within which live targets report again.
@@ -106,7 +106,7 @@
 
     /// Returns the snapshot after a read of the store that was sent at `sent`, and the changes.
     ///
-    /// Reports that lapsed while the store was unavailable are written again soon after it has
+    /// Reports that expired while the store was unavailable are written again soon after it has
     /// recovered; until then missing targets are kept.
     pub fn with_reports(
         &self,
