--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -40,8 +40,8 @@
 pub const LEASE_TTL: Duration = Duration::from_millis(2500);
 /// Time since the last heartbeat after which an instance considers the leader lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// Number of instances assumed before the first heartbeat; high, so that this instance's share
-/// of the limits that are divided among all starts small.
+/// Number of instances assumed before the first heartbeat; high, so that this instance's share of
+/// the limits that are divided among all starts small.
 const ASSUMED_INSTANCES: u32 = 100;
 /// Events kept for operators.
 const EVENT_CAPACITY: usize = 512;
--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -99,7 +99,7 @@
     502 BAD_REQUEST Debug FREQUENT_RATE; "bad request {request}: {detail}";
         "A caller sent an invalid request."; "Tell the caller's team.";
     504 RETRY Debug FREQUENT_RATE; "request {request} retried: {detail}";
-        "An attempt ended as `not-run`, or the request is idempotent."; "Nothing.";
+        "An attempt got a server error or no complete response; the request is idempotent and is sent again."; "Nothing.";
     510 MAY_HAVE_RUN Warn FREQUENT_RATE; "no complete response to request {request}: {detail}";
         "The target sent no complete response; the verdict is `may-have-run`.";
         "See the page on unserved requests.";
@@ -139,7 +139,7 @@
         "If it lasts, look at the network between the leader and the target.";
     615 EVENTS_SKIPPED Info None; "events not recorded so far: {detail}";
         "Some kinds of event exceeded their rate; the counts are since the start of the process.";
-        "Nothing; the metrics count every one.";
+        "Nothing; metrics of requests, attempts, commands and store calls are complete.";
     616 RELEASE_STARTED Info FREQUENT_RATE; "release of keys {key} requested from target {target}: {detail}";
         "The leader takes keys back; the target replies when its work on them is done, and new requests for them wait.";
         "Nothing, if `CC0613` follows.";
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -3,8 +3,8 @@
 //!
 //! Every instance reads the configuration and the targets from the store. One of them, the leader,
 //! assigns keys to targets, records the assignments and grants them; the others use the recorded
-//! assignments. All tasks run on one thread: an instance may be limited to a fifth of a
-//! core, with which further threads gain nothing.
+//! assignments. All tasks run on one thread: an instance may be limited to a fifth of a core, with
+//! which further threads gain nothing.
 
 use {
     crate::{
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -81,8 +81,8 @@
         [(300, 800, 1), (800, 1600, 3), (3000, 6000, 8)]
     {
         let table = table(target_count, assignment_count);
-        let value = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
-        let writes = encode("boards", &value).expect("rows");
+        let row_value = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
+        let writes = encode("boards", &row_value).expect("rows");
         assert_eq!(
             writes.len(),
             row_count,
@@ -97,8 +97,8 @@
             .find(|it| it.key == "owners/boards")
             .cloned();
         let head = head.expect("row of the service");
-        let value = super::decode("boards", &head, &all_rows).expect("assignments");
-        assert_eq!(AssignmentTable::try_from(value), Ok(table));
+        let decoded = super::decode("boards", &head, &all_rows).expect("assignments");
+        assert_eq!(AssignmentTable::try_from(decoded), Ok(table));
         all_rows.retain(|it| it.key != "parts/boards/001");
         let partial = super::decode("boards", &head, &all_rows);
         assert_eq!(partial.is_err(), row_count > 1, "decoding without a part");
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -142,9 +142,9 @@
         return None;
     }
     let is_current = state.epoch == context.election.borrow().epoch();
-    let services = sharded_services(context).into_iter();
+    let names = sharded_services(context).into_iter();
     let remaining =
-        services.map(|name| Some(state.services.get(&name)?.manager.remaining_grant_time(now)));
+        names.map(|name| Some(state.services.get(&name)?.manager.remaining_grant_time(now)));
     let longest = remaining
         .collect::<Option<Vec<Duration>>>()?
         .into_iter()
@@ -394,7 +394,7 @@
     let incarnations: BTreeMap<SocketAddr, u64> = incarnations.collect();
     let replaced = missing.into_iter().filter(|owner| {
         let address = context.target_address(owner);
-        let current = address.and_then(|it| incarnations.get(&it));
+        let current = address.and_then(|socket_address| incarnations.get(&socket_address));
         current.is_some_and(|incarnation| *incarnation > owner.incarnation)
     });
     replaced.cloned().collect()
@@ -442,8 +442,8 @@
 
 /// Returns the most transfers to start in one rebalance.
 fn max_transfers(target_count: usize) -> usize {
-    let max = (MAX_TARGET_CHECKS / target_count.max(1)).max(1);
-    (BASE_TRANSFERS + target_count / TARGETS_PER_TRANSFER).min(max)
+    let limit = (MAX_TARGET_CHECKS / target_count.max(1)).max(1);
+    (BASE_TRANSFERS + target_count / TARGETS_PER_TRANSFER).min(limit)
 }
 
 /// Sends the commands that are due, each in a task of its own.
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -170,17 +170,16 @@
     }
 }
 
-/// Returns whether heartbeats are missing for so long that members before this one could have
-/// claimed the row.
+/// Returns whether heartbeats are missing for longer than preceding members need to claim the row.
 fn is_leader_missing(context: &Context) -> bool {
     let timeout = HEARTBEAT_TIMEOUT + position_delay(context, Duration::ZERO);
     let last = context.last_heartbeat.get();
     last.is_none_or(|last| last.elapsed() > timeout)
 }
 
-/// Returns the delay of this instance's claim to a free row, which also applies to its own row if a
-/// much stronger member is known, so that this one can claim it. `random_delay` counts without
-/// a position.
+/// Returns the delay of this instance's claim to a free row; without a position, `random_delay` is
+/// part of it. The delay also applies to a row that this instance wrote if a much stronger member
+/// is known, so that the stronger one can claim it.
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::cpu_weight(context.settings.cpu);
@@ -247,25 +246,25 @@
         sent_at: sent,
     });
     let value = row.and_then(|row| row.value.as_deref());
-    let value: Option<LeaderRowValue> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let is_own_row = value.as_ref().is_some_and(|it| it.run == context.run_id);
+    let decoded: Option<LeaderRowValue> = value.and_then(|json| serde_json::from_slice(json).ok());
+    let is_own_row = decoded.as_ref().is_some_and(|it| it.run == context.run_id);
     let stored = LeaderRow {
         version: row.map_or(0, |row| row.version),
         is_own: is_own_row,
-        released: value.as_ref().is_none_or(|it| it.run.is_empty()),
-        lease_start: value
+        released: decoded.as_ref().is_none_or(|it| it.run.is_empty()),
+        lease_start: decoded
             .as_ref()
             .and_then(|it| it.lease_start)
             .map(Duration::from_millis),
     };
-    let grants_end = value.as_ref().and_then(|it| grants_end(context, it));
-    context.observed_row.set(Some((stored.version, grants_end)));
+    let expiry = decoded.as_ref().and_then(|it| grants_end(context, it));
+    context.observed_row.set(Some((stored.version, expiry)));
     context
         .election
         .borrow_mut()
         .apply_row(stored, clock::local_time(), timestamp);
-    if let Some(value) = value.filter(|_| !is_own_row) {
-        context.leader_address.set(Some(value.heartbeats));
+    if let Some(leader) = decoded.filter(|_| !is_own_row) {
+        context.leader_address.set(Some(leader.heartbeats));
     }
 }
 
@@ -427,17 +426,14 @@
         return RecordingOutcome::NotRecorded;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let leader_version = context.election.borrow().row_version();
+    let own_version = context.election.borrow().row_version();
     let value = AssignmentRowValue::new(table, |owner| context.target_address(owner));
     let Ok(mut writes) = assignment_rows::encode(service, &value) else {
         return RecordingOutcome::NotRecorded;
     };
     let sent = clock::local_time();
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [
-        check(ROW_KEY, leader_version),
-        check(&key, previous_version),
-    ];
+    let checks = [check(ROW_KEY, own_version), check(&key, previous_version)];
     writes.push(new_row(context, timestamp, None));
     let result = context
         .router_store
--- a/crates/cowslipcross/src/peers/datagram.rs
+++ b/crates/cowslipcross/src/peers/datagram.rs
@@ -67,9 +67,7 @@
 
 fn handle_message(context: &Context, message: Message, from: SocketAddr) {
     match message {
-        Message::Heartbeat(heartbeat) => {
-            heartbeat_protocol::handle_heartbeat(context, heartbeat, from)
-        }
+        Message::Heartbeat(body) => heartbeat_protocol::handle_heartbeat(context, body, from),
         Message::Members(members) => heartbeat_protocol::handle_members(context, &members),
         Message::AssignmentsRequest(name) => assignments::handle_request(context, &name, from),
         Message::Assignments(name, update) => assignments::handle_response(context, &name, &update),
