--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -81,7 +81,7 @@
         "The leader has written a service's assignments to the store."; "Nothing.";
     304 CONFIG_APPLIED Info None; "configuration in force: {detail}";
         "The instance uses a later configuration."; "Nothing.";
-    305 CONFIG_REJECTED Error None; "configuration refused: {detail}";
+    305 CONFIG_REJECTED Error None; "configuration rejected: {detail}";
         "A configuration, or a part of it, cannot be read; if all of it cannot, the previous one stays in force.";
         "Run `cowslipctl check` on the configuration and correct it.";
     306 DATA_CENTRE_WITHDRAWN Info None; "data centre withdrawn: {detail}";
@@ -115,7 +115,7 @@
     605 TARGET_REPORT_INVALID Warn FREQUENT_RATE; "report of a target skipped: {detail}";
         "A row in the table of targets cannot be read; the other rows are used.";
         "Find out who writes to the table of targets.";
-    606 ROW_INVALID Error FREQUENT_RATE; "row refused: {detail}";
+    606 ROW_INVALID Error FREQUENT_RATE; "row invalid: {detail}";
         "A row of the router's own table cannot be read; the previous value stays in use.";
         "Find out who writes to the table.";
     607 WRITE_UNANSWERED Warn FREQUENT_RATE; "write not answered: {detail}";
@@ -128,9 +128,9 @@
         "Nothing, if another instance reports `CC0608`.";
     610 WRITE_REFUSED Warn FREQUENT_RATE; "write refused: {detail}";
         "The store did not carry out a write of the leader."; "Look at the store of the platform.";
-    611 TARGET_ADDED Info FREQUENT_RATE; "target {target} found: {detail}";
+    611 TARGET_ADDED Info FREQUENT_RATE; "target {target} added: {detail}";
         "A target reports itself for the first time, or after a restart."; "Nothing.";
-    612 TARGET_REMOVED Info FREQUENT_RATE; "target {target} gone: {detail}";
+    612 TARGET_REMOVED Info FREQUENT_RATE; "target {target} removed: {detail}";
         "A target's report is no longer in the store; the target gets no new work."; "Nothing.";
     613 ASSIGNMENT_RELEASED Info FREQUENT_RATE; "keys {key} released by target {target}: {detail}";
         "The target has given up keys that the leader assigns to another target."; "Nothing.";
--- a/crates/cowslipcross/src/events/hybrid_clock.rs
+++ b/crates/cowslipcross/src/events/hybrid_clock.rs
@@ -1,5 +1,5 @@
 //! A hybrid logical clock: wall-clock time that never goes back, combined with a counter that
-//! orders events of different processes by cause.
+//! orders events of different processes causally.
 
 use {
     serde::{Deserialize, Serialize},
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -173,8 +173,8 @@
     Membership::new(members.collect()).strongest_except(own)
 }
 
-/// Adds the members known from the previous leader, so that this one's heartbeats reach them before
-/// their first reports.
+/// Adds the members known from the previous leader, so that heartbeats reach them before their
+/// first reports to the new one.
 pub fn add_known_members(context: &Context) {
     let mut reports = context.peer_reports.borrow_mut();
     let now = Instant::now();
@@ -224,7 +224,7 @@
             state.epoch = epoch;
         }
         if !context.is_leader() || context.leader_since.get().is_none() {
-            // Here only the states of an old epoch have to be dropped, which may take longer.
+            // Without leadership only states of an old epoch are dropped, which is not urgent.
             let _ = timeout(4 * ROUND_INTERVAL, context.leader_work.notified()).await;
             continue;
         }
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -160,7 +160,7 @@
             paused_until = Instant::now() + CLAIM_PAUSE;
             last_resignation = Some(Instant::now());
         }
-        // Continues after the interval, or at once if another instance requests a read.
+        // Continues after the interval, or at once if a read is requested.
         let is_requested = timeout(STEP_INTERVAL, context.refresh_requested.notified())
             .await
             .is_ok();
@@ -345,7 +345,7 @@
     apply_write_result(context, (timestamp, sent), &result);
     if !was_leader && context.is_leader() {
         context.leader_since.set(None);
-        // Grants of the previous leader are known to expire only if its row was the one replaced.
+        // The expiry of the previous leader's grants is known only if its row was the one replaced.
         let previous = context.observed_row.get().filter(|it| it.0 == version);
         context.grants_expire.set(previous.and_then(|(_, end)| end));
     }
@@ -529,7 +529,7 @@
 /// Returns the leader's row to write. `release` is `Some` to release the row, with the time after
 /// which no grant of this leader is in force, if that is known.
 fn new_row(context: &Context, time: StoreTimestamp, release: Option<Option<Duration>>) -> RowWrite {
-    let value = LeaderRowValue {
+    let row = LeaderRowValue {
         name: context.settings.name.clone(),
         run: match release {
             None => context.run_id.clone(),
@@ -543,6 +543,6 @@
     RowWrite {
         key: ROW_KEY.into(),
         // Serialising strings and numbers does not fail.
-        value: serde_json::to_vec(&value).unwrap_or_default(),
+        value: serde_json::to_vec(&row).unwrap_or_default(),
     }
 }
--- a/crates/cowslipcross/src/peers/membership.rs
+++ b/crates/cowslipcross/src/peers/membership.rs
@@ -73,8 +73,8 @@
         best.map(|member| member.address)
     }
 
-    /// Returns the position of a member in the order of falling weight, from 0; `None` if the
-    /// address is not a member's.
+    /// Returns the position of a member by descending weight, from 0; `None` if the address is not a
+    /// member's.
     pub fn position(&self, address: SocketAddr) -> Option<usize> {
         let sort_key = |member: &Member| (Reverse(member.weight), member.address);
         let found = self.members.iter().find(|it| it.address == address)?;
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -88,7 +88,7 @@
         #[serde(rename = "w")]
         wait_ms: u64,
     },
-    /// Returns a permit, or withdraws the permit request.
+    /// Returns a permit, or cancels the permit request.
     #[serde(rename = "d")]
     PermitReturned {
         /// Number of the permit request.
--- a/crates/cowslipcross/src/serve/exchange.rs
+++ b/crates/cowslipcross/src/serve/exchange.rs
@@ -45,8 +45,8 @@
     NotExecuted(ResponseMetadata),
     /// No connection was available, so nothing was sent.
     Unsent(ConnectError),
-    /// The request was at least partly sent, and no response came that is complete, signed and its
-    /// own; holds the cause.
+    /// The request was at least partly sent, and no complete and signed response to it was
+    /// received; holds the cause.
     Broken(&'static str),
     /// The request was at least partly sent, and its deadline passed.
     TimedOut,
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -164,10 +164,10 @@
     let best = warm
         .map(|view| {
             let connections = connections_to(context, view, now);
-            let is_nearby = view.report.data_centre == context.settings.data_centre;
+            let is_local = view.report.data_centre == context.settings.data_centre;
             let cost = (
                 connections.is_avoided(now),
-                expected_seconds(&connections, is_nearby, now),
+                expected_seconds(&connections, is_local, now),
             );
             (connections, view, cost)
         })
@@ -186,7 +186,7 @@
 }
 
 /// Estimates a target's response time to another request, in seconds.
-fn expected_seconds(connections: &TargetConnections, is_nearby: bool, now: Instant) -> f64 {
+fn expected_seconds(connections: &TargetConnections, is_local: bool, now: Instant) -> f64 {
     let reported = connections.load.get().map(|(load, reported_at)| {
         let age = (now - reported_at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
         let requests = f64::from(load.running + load.waiting) * (-age).exp();
@@ -202,7 +202,7 @@
         in_flight: requests.max(f64::from(connections.active_requests.get())),
         slots,
         slowdown: 1.0,
-        is_local: is_nearby,
+        is_local,
     };
     estimate.response_time() * rand::random_range(COST_JITTER)
 }
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -71,7 +71,7 @@
 async fn wait_until_stale(context: &Context) {
     let started_at = Instant::now();
     loop {
-        // Continues on a time-out as well as when another instance has reported a newer version.
+        // Continues on a timeout as well as when another instance has reported a newer version.
         let _ = timeout(CHECK_INTERVAL, context.config_stale.notified()).await;
         if context.is_config_stale() {
             sleep(STALE_GRACE).await;
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -13,7 +13,7 @@
 const MAX_READ_GAP: Duration = Duration::from_millis(2200);
 /// Time after the store has recovered within which live targets report again.
 const REPORT_GRACE_PERIOD: Duration = Duration::from_millis(2300);
-/// A report is no change if it moves the end of a target's cold time by no more than this.
+/// A report that postpones the end of a target's cold time by no more than this is no change.
 const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A target as last reported, with the local times of its changes.
