--- a/crates/cowslipcross/src/events/catalogue.rs
+++ b/crates/cowslipcross/src/events/catalogue.rs
@@ -104,7 +104,7 @@
         "The target sent no complete response; the verdict is `may-have-run`.";
         "See the page on unserved requests.";
     601 SETTINGS_RELOADED Info None; "settings reloaded: {detail}";
-        "The process uses the settings file as it is now."; "Nothing.";
+        "The process uses the section `bounds` of the settings file as it is now; other changes need a restart."; "Nothing.";
     602 SETTINGS_RELOAD_FAILED Error None; "settings not reloaded: {detail}";
         "The settings file is invalid; the previous settings stay in force."; "Correct the file.";
     603 STORE_UNAVAILABLE Warn None; "store unavailable: {detail}";
--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -104,7 +104,8 @@
     );
 }
 
-/// Reloads the settings at each hang-up signal; invalid ones leave the previous ones in force.
+/// Reloads the section `bounds` of the settings at each hang-up signal; an invalid file leaves the
+/// previous settings in force.
 async fn reload_settings(
     context: Rc<Context>,
     path: PathBuf,
