--- a/crates/cowslipcross/src/instance.rs
+++ b/crates/cowslipcross/src/instance.rs
@@ -3,8 +3,8 @@
 //!
 //! Every instance reads the configuration and the targets from the store. One of them, the leader,
 //! assigns keys to targets, records the assignments and grants them; the others use the recorded
-//! assignments. All tasks run on one thread: more gain nothing with a fifth of a core, which an
-//! instance may be limited to.
+//! assignments. All tasks run on one thread: an instance may be limited to a fifth of a core, with
+//! which further threads gain nothing.
 
 use {
     crate::{
@@ -104,7 +104,8 @@
     );
 }
 
-/// Reloads the settings at each hang-up signal; invalid ones leave the previous ones in force.
+/// Reloads the section `bounds` of the settings at each hang-up signal; an invalid file leaves the
+/// previous settings in force.
 async fn reload_settings(
     context: Rc<Context>,
     path: PathBuf,
--- a/crates/cowslipcross/src/lead/assignment_rows_tests.rs
+++ b/crates/cowslipcross/src/lead/assignment_rows_tests.rs
@@ -67,7 +67,7 @@
 fn addresses_of_owners_are_optional() {
     let table = table(2, 4);
     let second = table.assignments[1].owner.clone().expect("an owner");
-    let find_address = |owner: &TargetIncarnation| (*owner == second).then_some(ADDRESS);
+    let find_address = |target: &TargetIncarnation| (*target == second).then_some(ADDRESS);
     let value = AssignmentRowValue::new(&table, find_address);
     assert_eq!(value.addresses(), [(second.clone(), ADDRESS)]);
     let without_addresses = r#"{"o":[["a",1]],"p":[[0,0,1]],"f":1}"#;
@@ -81,8 +81,8 @@
         [(300, 800, 1), (800, 1600, 3), (3000, 6000, 8)]
     {
         let table = table(target_count, assignment_count);
-        let value = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
-        let writes = encode("boards", &value).expect("rows");
+        let row_value = AssignmentRowValue::new(&table, |_| Some(ADDRESS));
+        let writes = encode("boards", &row_value).expect("rows");
         assert_eq!(
             writes.len(),
             row_count,
@@ -97,8 +97,8 @@
             .find(|it| it.key == "owners/boards")
             .cloned();
         let head = head.expect("row of the service");
-        let value = super::decode("boards", &head, &all_rows).expect("assignments");
-        assert_eq!(AssignmentTable::try_from(value), Ok(table));
+        let decoded = super::decode("boards", &head, &all_rows).expect("assignments");
+        assert_eq!(AssignmentTable::try_from(decoded), Ok(table));
         all_rows.retain(|it| it.key != "parts/boards/001");
         let partial = super::decode("boards", &head, &all_rows);
         assert_eq!(partial.is_err(), row_count > 1, "decoding without a part");
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -27,7 +27,7 @@
 /// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Longest time between two steps of the election.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two reads in search of a leader, while no heartbeats arrive.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(600);
 /// Shortest time between two reads.
@@ -140,7 +140,7 @@
             && reads.is_due(&context);
         let can_claim = paused_until <= Instant::now() && context.stopping_since.get().is_none();
         match action {
-            ElectionAction::Write { version } if can_claim => claim(&context, version).await,
+            ElectionAction::Write { version } if can_claim => claim_row(&context, version).await,
             ElectionAction::Read if reads.is_due(&context) => {
                 reads.read(&context).await;
                 continue;
@@ -160,8 +160,8 @@
             paused_until = Instant::now() + CLAIM_PAUSE;
             last_resignation = Some(Instant::now());
         }
-        // Continues after the interval, or at once if another instance requests a read.
-        let is_requested = timeout(POLL_INTERVAL, context.refresh_requested.notified())
+        // Continues after the interval, or at once if a read is requested.
+        let is_requested = timeout(STEP_INTERVAL, context.refresh_requested.notified())
             .await
             .is_ok();
         if is_requested && !context.is_leader() && reads.is_due(&context) {
@@ -170,17 +170,16 @@
     }
 }
 
-/// Returns whether heartbeats are missing for so long that members before this one could have
-/// claimed the row.
+/// Returns whether heartbeats are missing for longer than preceding members need to claim the row.
 fn is_leader_missing(context: &Context) -> bool {
     let timeout = HEARTBEAT_TIMEOUT + position_delay(context, Duration::ZERO);
     let last = context.last_heartbeat.get();
     last.is_none_or(|last| last.elapsed() > timeout)
 }
 
-/// Returns the delay of this instance's claim to a free row, which also applies to its own row if a
-/// much stronger member is known, so that this one can claim it. `random_delay` counts without
-/// a position.
+/// Returns the delay of this instance's claim to a free row; without a position, `random_delay` is
+/// part of it. The delay also applies to a row that this instance wrote if a much stronger member
+/// is known, so that the stronger one can claim it.
 fn claim_delay(context: &Context, random_delay: Duration) -> ClaimDelay {
     let own = context.settings.listen.heartbeats;
     let weight = membership::cpu_weight(context.settings.cpu);
@@ -204,8 +203,8 @@
 
 /// Releases the leader's row if a much stronger member could lead; returns whether it did.
 async fn resign_to_stronger(context: &Context) -> bool {
-    let since = context.leader_since.get();
-    if !context.is_leader() || since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
+    let led_since = context.leader_since.get();
+    if !context.is_leader() || led_since.is_none_or(|since| since.elapsed() < MIN_LEADERSHIP_TIME) {
         return false;
     }
     let own = membership::cpu_weight(context.settings.cpu);
@@ -247,25 +246,25 @@
         sent_at: sent,
     });
     let value = row.and_then(|row| row.value.as_deref());
-    let value: Option<LeaderRowValue> = value.and_then(|value| serde_json::from_slice(value).ok());
-    let is_own_row = value.as_ref().is_some_and(|it| it.run == context.run_id);
+    let decoded: Option<LeaderRowValue> = value.and_then(|json| serde_json::from_slice(json).ok());
+    let is_own_row = decoded.as_ref().is_some_and(|it| it.run == context.run_id);
     let stored = LeaderRow {
         version: row.map_or(0, |row| row.version),
         is_own: is_own_row,
-        released: value.as_ref().is_none_or(|it| it.run.is_empty()),
-        lease_start: value
+        released: decoded.as_ref().is_none_or(|it| it.run.is_empty()),
+        lease_start: decoded
             .as_ref()
             .and_then(|it| it.lease_start)
             .map(Duration::from_millis),
     };
-    let grants_end = value.as_ref().and_then(|it| grants_end(context, it));
-    context.observed_row.set(Some((stored.version, grants_end)));
+    let expiry = decoded.as_ref().and_then(|it| grants_end(context, it));
+    context.observed_row.set(Some((stored.version, expiry)));
     context
         .election
         .borrow_mut()
         .apply_row(stored, clock::local_time(), timestamp);
-    if let Some(value) = value.filter(|_| !is_own_row) {
-        context.leader_address.set(Some(value.heartbeats));
+    if let Some(leader) = decoded.filter(|_| !is_own_row) {
+        context.leader_address.set(Some(leader.heartbeats));
     }
 }
 
@@ -283,8 +282,8 @@
 /// Applies a service's assignments from the store unless a later version is known. The same version
 /// is replaced, too, as a row contains more than heartbeats do.
 fn apply_assignments(context: &Context, service: &str, row: &Row, all_rows: &[Row]) {
-    let mut owners = context.owners.borrow_mut();
-    let known = owners.get_mut(service);
+    let mut all_recorded = context.recorded_assignments.borrow_mut();
+    let known = all_recorded.get_mut(service);
     if known.as_ref().is_some_and(|it| it.version > row.version) {
         return;
     }
@@ -305,7 +304,7 @@
         row.version,
         table.assignments.len()
     );
-    owners.insert(
+    all_recorded.insert(
         service.into(),
         RecordedAssignments {
             version: row.version,
@@ -313,7 +312,7 @@
             last_change: None,
         },
     );
-    drop(owners);
+    drop(all_recorded);
     context.record_event(events::ASSIGNMENTS_UPDATED, detail);
     context.routing_changed.notify_waiters();
 }
@@ -331,7 +330,7 @@
 }
 
 /// Claims or renews the leader's row on the condition that it has this version.
-async fn claim(context: &Context, version: u64) {
+async fn claim_row(context: &Context, version: u64) {
     let guard = context.write_lock.lock().await;
     let (was_leader, sent) = (context.is_leader(), clock::local_time());
     let timestamp = timestamp_to_write(context, sent);
@@ -346,11 +345,9 @@
     apply_write_result(context, (timestamp, sent), &result);
     if !was_leader && context.is_leader() {
         context.leader_since.set(None);
-        // Grants of the previous leader are known to expire only if its row was the one replaced.
+        // The expiry of the previous leader's grants is known only if its row was the one replaced.
         let previous = context.observed_row.get().filter(|it| it.0 == version);
-        context
-            .grants_expire
-            .set(previous.and_then(|(_, grants_end)| grants_end));
+        context.grants_expire.set(previous.and_then(|(_, end)| end));
     }
 }
 
@@ -429,14 +426,14 @@
         return RecordingOutcome::NotRecorded;
     }
     let key = format!("{OWNERS_PREFIX}{service}");
-    let row_version = context.election.borrow().row_version();
+    let own_version = context.election.borrow().row_version();
     let value = AssignmentRowValue::new(table, |owner| context.target_address(owner));
     let Ok(mut writes) = assignment_rows::encode(service, &value) else {
         return RecordingOutcome::NotRecorded;
     };
     let sent = clock::local_time();
     let timestamp = timestamp_to_write(context, sent);
-    let checks = [check(ROW_KEY, row_version), check(&key, previous_version)];
+    let checks = [check(ROW_KEY, own_version), check(&key, previous_version)];
     writes.push(new_row(context, timestamp, None));
     let result = context
         .router_store
@@ -464,8 +461,8 @@
     (previous_version, version): (u64, u64),
     table: &AssignmentTable,
 ) {
-    let mut owners = context.owners.borrow_mut();
-    let previous = owners
+    let mut all_recorded = context.recorded_assignments.borrow_mut();
+    let previous = all_recorded
         .get(service)
         .filter(|it| it.version == previous_version);
     let change = previous.map(|previous| AssignmentChange {
@@ -478,7 +475,7 @@
         table: Rc::new(table.clone()),
         last_change: change,
     };
-    owners.insert(service.clone(), recorded);
+    all_recorded.insert(service.clone(), recorded);
 }
 
 /// Releases the leader's row before a shutdown, if this instance leads.
@@ -532,7 +529,7 @@
 /// Returns the leader's row to write. `release` is `Some` to release the row, with the time after
 /// which no grant of this leader is in force, if that is known.
 fn new_row(context: &Context, time: StoreTimestamp, release: Option<Option<Duration>>) -> RowWrite {
-    let value = LeaderRowValue {
+    let row = LeaderRowValue {
         name: context.settings.name.clone(),
         run: match release {
             None => context.run_id.clone(),
@@ -546,6 +543,6 @@
     RowWrite {
         key: ROW_KEY.into(),
         // Serialising strings and numbers does not fail.
-        value: serde_json::to_vec(&value).unwrap_or_default(),
+        value: serde_json::to_vec(&row).unwrap_or_default(),
     }
 }
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -27,9 +27,8 @@
 const ASSUMED_SLOTS: u32 = 2;
 /// Random factor on expected response times, so that equal targets get equal parts.
 const COST_JITTER: RangeInclusive<f64> = 0.9..=1.1;
-/// Time after which a target is selected again when configuration, owners or targets have not
-/// changed.
-const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after which a target is selected again if the routing data have not changed.
+const RESELECT_INTERVAL: Duration = Duration::from_millis(150);
 /// Part of a cold target's rate that all instances together use without permits; below 1 as each
 /// instance counts only its own requests.
 const NO_PERMIT_RATE_FACTOR: f64 = 0.9;
@@ -54,12 +53,12 @@
         .as_ref()
         .and_then(|it| it.services.get(&request.service));
     let Some(service) = service else {
-        return Selection::Refuse(POLL_INTERVAL);
+        return Selection::Refuse(RESELECT_INTERVAL);
     };
     let targets = context.targets.borrow().clone();
     match request.key {
         Some(key) => select_owner(context, request, (&targets, key), now),
-        None if service.sharded => Selection::Refuse(POLL_INTERVAL),
+        None if service.sharded => Selection::Refuse(RESELECT_INTERVAL),
         None => Selection::AnyTarget,
     }
 }
@@ -71,11 +70,11 @@
     (targets, key): (&TargetSnapshot, u16),
     now: Instant,
 ) -> Selection {
-    let owners = context.owners.borrow();
-    let Some(owners) = owners.get(&request.service) else {
-        return Selection::Wait(POLL_INTERVAL);
+    let all_recorded = context.recorded_assignments.borrow();
+    let Some(recorded) = all_recorded.get(&request.service) else {
+        return Selection::Wait(RESELECT_INTERVAL);
     };
-    let assigned = owners.table.assignment(key);
+    let assigned = recorded.table.assignment(key);
     if let Some(wait) =
         context
             .blocked_keys
@@ -85,19 +84,19 @@
         return Selection::Wait(wait);
     }
     let Some(owner_incarnation) = assigned.owner.as_ref() else {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     };
     let Some(view) = targets
         .get(&owner_incarnation.id)
         .filter(|it| it.report.incarnation == owner_incarnation.incarnation)
     else {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     };
     let is_drain_over = |since: Instant| now - since > OWNER_DRAIN_TIME;
     if view.draining_since.is_some_and(is_drain_over)
         || is_withdrawn(context, view, now, OWNER_WITHDRAWAL_FACTOR)
     {
-        return Selection::Wait(POLL_INTERVAL);
+        return Selection::Wait(RESELECT_INTERVAL);
     }
     Selection::Owner(connections_to(context, view, now), view.report.id.clone())
 }
@@ -165,10 +164,10 @@
     let best = warm
         .map(|view| {
             let connections = connections_to(context, view, now);
-            let is_nearby = view.report.data_centre == context.settings.data_centre;
+            let is_local = view.report.data_centre == context.settings.data_centre;
             let cost = (
                 connections.is_avoided(now),
-                expected_seconds(&connections, is_nearby, now),
+                expected_seconds(&connections, is_local, now),
             );
             (connections, view, cost)
         })
@@ -176,7 +175,7 @@
     if let Some((connections, view, _)) = best {
         return Ok((connections, view.report.id.clone()));
     }
-    let mut retry_after = POLL_INTERVAL;
+    let mut retry_after = RESELECT_INTERVAL;
     for view in available {
         match take_cold_token(context, request, &view.report.id) {
             Ok(()) => return Ok((connections_to(context, view, now), view.report.id.clone())),
@@ -187,7 +186,7 @@
 }
 
 /// Estimates a target's response time to another request, in seconds.
-fn expected_seconds(connections: &TargetConnections, is_nearby: bool, now: Instant) -> f64 {
+fn expected_seconds(connections: &TargetConnections, is_local: bool, now: Instant) -> f64 {
     let reported = connections.load.get().map(|(load, reported_at)| {
         let age = (now - reported_at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
         let requests = f64::from(load.running + load.waiting) * (-age).exp();
@@ -203,7 +202,7 @@
         in_flight: requests.max(f64::from(connections.active_requests.get())),
         slots,
         slowdown: 1.0,
-        is_local: is_nearby,
+        is_local,
     };
     estimate.response_time() * rand::random_range(COST_JITTER)
 }
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -8,12 +8,12 @@
     tokio::time::Instant,
 };
 
-/// Time without a confirmation of the snapshot after which missing reports may have lapsed because
+/// Time without a confirmation of the snapshot after which missing reports may have expired because
 /// the store was unavailable to the targets, too.
 const MAX_READ_GAP: Duration = Duration::from_millis(2200);
 /// Time after the store has recovered within which live targets report again.
 const REPORT_GRACE_PERIOD: Duration = Duration::from_millis(2300);
-/// A report is no change if it moves the end of a target's cold time by no more than this.
+/// A report that postpones the end of a target's cold time by no more than this is no change.
 const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A target as last reported, with the local times of its changes.
@@ -106,7 +106,7 @@
 
     /// Returns the snapshot after a read of the store that was sent at `sent`, and the changes.
     ///
-    /// Reports that lapsed while the store was unavailable are written again soon after it has
+    /// Reports that expired while the store was unavailable are written again soon after it has
     /// recovered; until then missing targets are kept.
     pub fn with_reports(
         &self,
