--- a/crates/cowslipcross/src/lead/command_sender.rs
+++ b/crates/cowslipcross/src/lead/command_sender.rs
@@ -85,8 +85,8 @@
         match command {
             Command::Grant { ttl, handover, .. } => {
                 let grant = Grant {
-                    first_key: assignment.first,
-                    last_key: assignment.last,
+                    first: assignment.first,
+                    last: assignment.last,
                     fence: assignment.fence,
                     ttl: *ttl,
                     handover: handover.clone(),
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -219,7 +219,7 @@
 /// Reads the router's own table and applies its rows; returns whether the store answered.
 pub async fn refresh_router_table(context: &Context) -> bool {
     let _guard = context.write_lock.lock().await;
-    let sent = clock::local_time();
+    let sent_at = clock::local_time();
     let result = context
         .router_store
         .read_table(ROUTER_TABLE, STORE_TIMEOUT)
@@ -229,7 +229,7 @@
     let Ok(rows) = result else {
         return false;
     };
-    apply_leader_row(context, &rows, sent);
+    apply_leader_row(context, &rows, sent_at);
     for row in &rows.rows {
         if let Some(service) = row.key.strip_prefix(OWNERS_PREFIX) {
             apply_assignments(context, service, row, &rows.rows);
@@ -238,12 +238,12 @@
     true
 }
 
-/// Applies the leader's row from a response of the store to a call that started at `sent`.
-fn apply_leader_row(context: &Context, rows: &RowSet, sent: LocalTime) {
+/// Applies the leader's row from a response of the store to a call that started at `sent_at`.
+fn apply_leader_row(context: &Context, rows: &RowSet, sent_at: LocalTime) {
     let row = rows.rows.iter().find(|row| row.key == ROW_KEY);
     let timestamp = rows.store_time.map(|time| StoreTimestamp {
         store_time: time,
-        sent_at: sent,
+        sent_at,
     });
     let value = row.and_then(|row| row.value.as_deref());
     let decoded: Option<LeaderRowValue> = value.and_then(|json| serde_json::from_slice(json).ok());
@@ -332,8 +332,8 @@
 /// Claims or renews the leader's row on the condition that it has this version.
 async fn claim_row(context: &Context, version: u64) {
     let guard = context.write_lock.lock().await;
-    let (was_leader, sent) = (context.is_leader(), clock::local_time());
-    let timestamp = timestamp_to_write(context, sent);
+    let (was_leader, sent_at) = (context.is_leader(), clock::local_time());
+    let timestamp = timestamp_to_write(context, sent_at);
     let checks = [check(ROW_KEY, version)];
     let writes = [new_row(context, timestamp, None)];
     let result = context
@@ -342,7 +342,7 @@
         .await;
     drop(guard);
     context.metrics.count_store_call("lease", result.is_ok());
-    apply_write_result(context, (timestamp, sent), &result);
+    apply_write_result(context, (timestamp, sent_at), &result);
     if !was_leader && context.is_leader() {
         context.leader_since.set(None);
         // The expiry of the previous leader's grants is known only if its row was the one replaced.
@@ -379,10 +379,10 @@
     })
 }
 
-/// Applies the result of a write that was sent at `sent` with `written` in the leader's row.
+/// Applies the result of a write that was sent at `sent_at` with `written` in the leader's row.
 fn apply_write_result(
     context: &Context,
-    (written, sent): (StoreTimestamp, LocalTime),
+    (written, sent_at): (StoreTimestamp, LocalTime),
     result: &cowslip_adapter::Result<CommitOutcome>,
 ) {
     match result {
@@ -392,7 +392,7 @@
         }) => {
             let response_timestamp = now.map_or(written, |time| StoreTimestamp {
                 store_time: time,
-                sent_at: sent,
+                sent_at,
             });
             context
                 .election
@@ -400,7 +400,7 @@
                 .confirm_write(written, *version, response_timestamp);
         }
         Ok(CommitOutcome::Conflict(rows)) => match rows.rows.iter().any(|it| it.key == ROW_KEY) {
-            true => apply_leader_row(context, rows, sent),
+            true => apply_leader_row(context, rows, sent_at),
             // The response lacks the leader's row, so it has to be read.
             false => context.election.borrow_mut().mark_write_unanswered(),
         },
@@ -431,8 +431,8 @@
     let Ok(mut writes) = assignment_rows::encode(service, &value) else {
         return RecordingOutcome::NotRecorded;
     };
-    let sent = clock::local_time();
-    let timestamp = timestamp_to_write(context, sent);
+    let sent_at = clock::local_time();
+    let timestamp = timestamp_to_write(context, sent_at);
     let checks = [check(ROW_KEY, own_version), check(&key, previous_version)];
     writes.push(new_row(context, timestamp, None));
     let result = context
@@ -441,7 +441,7 @@
         .await;
     drop(guard);
     context.metrics.count_store_call("record", result.is_ok());
-    apply_write_result(context, (timestamp, sent), &result);
+    apply_write_result(context, (timestamp, sent_at), &result);
     match result {
         Ok(CommitOutcome::Committed { version, .. }) => {
             apply_recorded(context, service, (previous_version, version), table);
--- a/crates/cowslipcross/src/views/target_snapshot.rs
+++ b/crates/cowslipcross/src/views/target_snapshot.rs
@@ -104,7 +104,7 @@
         all.filter(move |view| &*view.report.service == service)
     }
 
-    /// Returns the snapshot after a read of the store that was sent at `sent`, and the changes.
+    /// Returns the snapshot after a read of the store that was sent at `sent_at`, and the changes.
     ///
     /// Reports that expired while the store was unavailable are written again soon after it has
     /// recovered; until then missing targets are kept.
@@ -112,9 +112,9 @@
         &self,
         reports: Vec<TargetReport>,
         version: u64,
-        (sent, now): (Instant, Instant),
+        (sent_at, now): (Instant, Instant),
     ) -> (Self, TargetChanges) {
-        let has_read_gap = self.age(sent).is_some_and(|age| age > MAX_READ_GAP);
+        let has_read_gap = self.age(sent_at).is_some_and(|age| age > MAX_READ_GAP);
         let grace_until = match has_read_gap {
             true => Some(now + REPORT_GRACE_PERIOD),
             false => self.grace_until.filter(|until| *until > now),
@@ -136,7 +136,7 @@
             views: self.apply_changes(&changes, now),
             store_version: version.max(self.store_version),
             changed_version: changed_version.max(self.changed_version),
-            confirmed_at: self.confirmed_at.max(Some(sent)),
+            confirmed_at: self.confirmed_at.max(Some(sent_at)),
             grace_until,
         };
         (next, changes)
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -32,14 +32,14 @@
     let mut health = StoreHealth::default();
     loop {
         wait_until_due(&context).await;
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let read = context
             .target_store
             .read_table(TARGET_TABLE, CALL_TIMEOUT)
             .await;
         health.record_call(&context, "targets", read.as_ref().err());
         match read {
-            Ok(rows) => apply_rows(&context, &rows, sent),
+            Ok(rows) => apply_rows(&context, &rows, sent_at),
             Err(_) => health.wait_to_retry(&context).await,
         }
     }
@@ -68,8 +68,8 @@
     }
 }
 
-/// Applies the rows of a read that was sent at `sent`.
-fn apply_rows(context: &Context, rows: &RowSet, sent: Instant) {
+/// Applies the rows of a read that was sent at `sent_at`.
+fn apply_rows(context: &Context, rows: &RowSet, sent_at: Instant) {
     let mut reports = Vec::with_capacity(rows.rows.len());
     let mut unreadable = rows.unreadable_rows;
     for row in &rows.rows {
@@ -86,7 +86,7 @@
         .set_target_reports(reports.len(), unreadable);
     let previous = context.targets.borrow().clone();
     let now = Instant::now();
-    let (next, changes) = previous.with_reports(reports, rows.store_version, (sent, now));
+    let (next, changes) = previous.with_reports(reports, rows.store_version, (sent_at, now));
     if !changes.is_empty() {
         let mut updates = context.target_updates.borrow_mut();
         updates.add_update(
--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -224,9 +224,9 @@
     pub fn remaining_grant_time(&self, now: Instant) -> Duration {
         let last_end = |state: &AssignmentState| {
             let known = state.grant_end.max(state.late_end);
-            let sent = state.sent_ttl.filter(|_| state.in_flight);
-            let latest =
-                sent.map(|ttl| now + self.timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN));
+            let in_flight_ttl = state.sent_ttl.filter(|_| state.in_flight);
+            let latest = in_flight_ttl
+                .map(|ttl| now + self.timing.delivery_limit + ttl.mul_f64(CLOCK_MARGIN));
             known.max(latest)
         };
         let last = self.states.iter().filter_map(last_end).max();
@@ -355,12 +355,12 @@
         commands
     }
 
-    /// Applies the outcome of a command that was sent at `sent`.
+    /// Applies the outcome of a command that was sent at `sent_at`.
     pub fn handle_outcome(
         &mut self,
         command: &Command,
         outcome: CommandOutcome,
-        sent: Instant,
+        sent_at: Instant,
         now: Instant,
     ) {
         let (Command::Grant { assignment, .. } | Command::Release { assignment }) = command;
@@ -371,7 +371,7 @@
                 && assignment.first <= state.assignment.first
                 && state.assignment.last <= assignment.last;
             if is_match {
-                state.handle_outcome(command, &outcome, &timing, (sent, now));
+                state.handle_outcome(command, &outcome, &timing, (sent_at, now));
             }
             if is_match && outcome == CommandOutcome::TargetEnded {
                 self.ended.extend(state.assignment.owner.clone());
--- a/crates/decide/src/owners/state.rs
+++ b/crates/decide/src/owners/state.rs
@@ -172,7 +172,7 @@
         timing: &CommandTiming,
         times: (Instant, Instant),
     ) {
-        let (sent, now) = times;
+        let (sent_at, now) = times;
         self.in_flight = false;
         self.unanswered_count = match outcome {
             CommandOutcome::Unsent | CommandOutcome::Unknown => self.unanswered_count + 1,
@@ -194,7 +194,7 @@
                 self.command_due = match self.revocation {
                     // The release follows at once.
                     Some(_) => now,
-                    None => sent + timing.renewal_interval,
+                    None => sent_at + timing.renewal_interval,
                 };
             }
             (Command::Grant { ttl, .. }, CommandOutcome::Unknown) => {
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -61,7 +61,7 @@
 /// A command that has not arrived or whose outcome the leader does not know yet.
 struct SentCommand {
     command: Command,
-    sent: Instant,
+    sent_at: Instant,
     target: usize,
     incarnation: u64,
     arrives_at: Instant,
@@ -324,7 +324,7 @@
         };
         self.commands.push(SentCommand {
             command,
-            sent: self.now,
+            sent_at: self.now,
             target: index,
             incarnation: self.targets[index].incarnation,
             arrives_at,
@@ -355,8 +355,10 @@
         for mut cmd in commands {
             let ended = match (cmd.answered_at, cmd.outcome.clone()) {
                 (Some(at), Some(result)) if at <= now => Some(result),
-                (None, _) if now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
-                _ if cmd.is_grant() && now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
+                (None, _) if now >= cmd.sent_at + MAX_WAIT => Some(CommandOutcome::Unknown),
+                _ if cmd.is_grant() && now >= cmd.sent_at + MAX_WAIT => {
+                    Some(CommandOutcome::Unknown)
+                }
                 _ => None,
             };
             if let Some(result) = ended
@@ -365,7 +367,7 @@
                 if let Some(leader) = &mut self.leader
                     && cmd.epoch == self.epoch
                 {
-                    leader.handle_outcome(&cmd.command, result, cmd.sent, now);
+                    leader.handle_outcome(&cmd.command, result, cmd.sent_at, now);
                 }
                 cmd.epoch = 0;
                 cmd.answered_at = None;
