--- a/crates/cowslipcross/src/context.rs
+++ b/crates/cowslipcross/src/context.rs
@@ -73,7 +73,7 @@
 pub struct TargetAddress {
     /// Incarnation of the target.
     pub incarnation: u64,
-    /// Its last known address.
+    /// Last known address of the target.
     pub socket_address: SocketAddr,
 }
 
--- a/crates/cowslipcross/src/events/ring.rs
+++ b/crates/cowslipcross/src/events/ring.rs
@@ -18,7 +18,7 @@
     /// Hybrid timestamp of the event.
     #[serde(flatten)]
     pub stamp: HybridTimestamp,
-    /// Instance that recorded it.
+    /// Instance that recorded the event.
     pub process: Name,
     /// Data centre of that instance.
     pub data_centre: Name,
--- a/crates/cowslipcross/src/lead/command_sender.rs
+++ b/crates/cowslipcross/src/lead/command_sender.rs
@@ -138,7 +138,7 @@
         Error::Rejected { status, .. } if commands::is_not_executed(*status) => {
             CommandOutcome::Unsent
         }
-        // A faulty target may send any other response although it has executed the command.
+        // A faulty target may send any other response although it has run the command.
         Error::Rejected { .. } | Error::OutcomeUnknown(_) | Error::Malformed { .. } => {
             CommandOutcome::Unknown
         }
--- a/crates/cowslipcross/src/lead/leader_loop.rs
+++ b/crates/cowslipcross/src/lead/leader_loop.rs
@@ -40,7 +40,7 @@
 const GRANT_TTL: Duration = Duration::from_millis(2700);
 /// Time from a grant to its renewal.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(650);
-/// The same for a service with many assignments.
+/// [`RENEWAL_INTERVAL`] of a service with many assignments.
 const SLOW_RENEWAL_INTERVAL: Duration = Duration::from_millis(1100);
 /// Time after which a failed command is sent again.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(150);
--- a/crates/cowslipcross/src/lead/leader_row.rs
+++ b/crates/cowslipcross/src/lead/leader_row.rs
@@ -84,9 +84,9 @@
 pub enum RecordingOutcome {
     /// The assignments are in the store.
     Recorded,
-    /// They are not in the store and will not be.
+    /// The assignments are not in the store and will not be.
     NotRecorded,
-    /// They may be in the store, or get there as long as the leader's row keeps its version.
+    /// The assignments may be in the store, or may get there until the leader's row changes.
     Unknown,
 }
 
--- a/crates/cowslipcross/src/peers/message.rs
+++ b/crates/cowslipcross/src/peers/message.rs
@@ -195,7 +195,7 @@
             last,
             owner: owner.map(|(id, incarnation)| TargetIncarnation { id, incarnation }),
             fence: Fence(fence),
-            // Only a new leader needs it, and reads it from the store.
+            // Only a new leader needs the expiry, and reads it from the store.
             expires_at: None,
         }
     }
--- a/crates/cowslipcross/src/serve/server.rs
+++ b/crates/cowslipcross/src/serve/server.rs
@@ -166,7 +166,7 @@
     outcome.into_response(&request.id, remaining)
 }
 
-/// Counts and records a request that cannot be served, and returns the response for its caller.
+/// Counts and records an invalid request, and returns the response for its caller.
 fn reject(context: &Context, bad: &BadRequest, id: Option<HeaderValue>) -> Response<ResponseBody> {
     context.metrics.count_bad_request(bad);
     let fields = EventFields {
--- a/crates/cowslipcross/src/serve/target_selection.rs
+++ b/crates/cowslipcross/src/serve/target_selection.rs
@@ -35,13 +35,13 @@
 
 /// What to do with a request next.
 pub enum Selection {
-    /// Send it to the owner of its key.
+    /// Send the request to the owner of its key.
     Owner(Rc<TargetConnections>, Name),
-    /// Send it to any target of its service.
+    /// Send the request to any target of its service.
     AnyTarget,
     /// Wait until the routing data change, at most for this time.
     Wait(Duration),
-    /// Refuse it; a retry may succeed after this time.
+    /// Refuse the request; a retry may succeed after this time.
     Refuse(Duration),
 }
 
@@ -118,7 +118,7 @@
     view.draining_since.is_none() && !is_withdrawn(context, view, now, 0.0)
 }
 
-/// Takes a token of this instance's share of a cold target's rate; a warm target needs none.
+/// Uses a token of this instance's share of a cold target's rate; a warm target needs none.
 ///
 /// # Errors
 /// Returns the time until the next token if there is none.
@@ -207,7 +207,7 @@
     estimate.response_time() * rand::random_range(COST_JITTER)
 }
 
-/// Takes a token from the target's bucket, which fills at this instance's share of the cold rate.
+/// Removes a token from the target's bucket, which fills at this instance's share of the cold rate.
 fn try_take_token(
     context: &Context,
     service: &Service,
--- a/crates/cowslipcross/src/views/config.rs
+++ b/crates/cowslipcross/src/views/config.rs
@@ -15,7 +15,7 @@
 /// Time for which the store holds a call open to wait for a change, if no heartbeats of a leader
 /// would report one. A dead connection is noticed after this and [`CALL_TIMEOUT`].
 const LONG_POLL_TIME: Duration = Duration::from_millis(2400);
-/// The same for a follower; longer, as heartbeats report changes.
+/// [`LONG_POLL_TIME`] of a follower; longer, as heartbeats report changes.
 const FOLLOWER_LONG_POLL_TIME: Duration = Duration::from_secs(28);
 /// Time within which the store has to answer, beyond the time that it may wait for a change.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/cowslipcross/src/views/targets.rs
+++ b/crates/cowslipcross/src/views/targets.rs
@@ -23,7 +23,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Age of the snapshot at which the targets are read from the store.
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(1500);
-/// The same for the leader, which has to reassign the keys of draining targets and informs the
+/// [`SNAPSHOT_MAX_AGE`] of the leader, which has to reassign the keys of draining targets and informs the
 /// other instances.
 const LEADER_MAX_AGE: Duration = Duration::from_millis(600);
 
--- a/crates/cowslipcross/tests/instance/deployment.rs
+++ b/crates/cowslipcross/tests/instance/deployment.rs
@@ -144,7 +144,7 @@
         String::from_utf8_lossy(&response.body).into_owned()
     }
 
-    /// Gets an operators' page.
+    /// Requests an operators' page.
     pub async fn get_page(&self, path: &str, token: Option<&str>) -> InstanceResponse {
         let mut request = Request::builder().uri(path).header("host", "x");
         if let Some(token) = token {
@@ -219,7 +219,7 @@
             .count()
     }
 
-    /// Returns how often the targets executed the request with this id.
+    /// Returns how often the targets ran the request with this id.
     pub fn count_executions(&self, id: &str) -> u32 {
         let all = self.boards.iter().chain(&self.crews);
         all.map(|target| target.execution_count(id)).sum()
--- a/crates/cowslipcross/tests/instance/requests.rs
+++ b/crates/cowslipcross/tests/instance/requests.rs
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn invalid_requests_are_refused_and_reach_no_target() {
+async fn invalid_requests_are_rejected_and_reach_no_target() {
     let deployment = Deployment::start(1, 2, 2, PROCESSING_TIME).await;
     let instance = &deployment.instances[0];
     let long = Bytes::from(vec![b'x'; 3000]);
--- a/crates/cowslipctl/tests/commands.rs
+++ b/crates/cowslipctl/tests/commands.rs
@@ -126,12 +126,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn show_prints_stored_configuration() {
     let store = FakeStore::start().await;
-    let set = format!("--set=store={}", store.address());
-    let (code, _, error) = run(&["show", &set]).await;
+    let store_flag = format!("--set=store={}", store.address());
+    let (code, _, error) = run(&["show", &store_flag]).await;
     assert!(code == 1 && error.contains("no configuration"), "{error}");
     store.put("op", "config", build_config("r5", "boards").as_bytes());
     store.put("op", "evacuate/east", b"{}");
-    let (code, out, error) = run(&["show", &set]).await;
+    let (code, out, error) = run(&["show", &store_flag]).await;
     assert_eq!(code, 0, "{error}");
     assert!(
         out.contains("version 5") && out.contains("centres: east"),
@@ -142,18 +142,19 @@
         "{out}"
     );
     assert!(out.contains("skipped: service nowhere"), "{out}");
-    let (_, out, _) = run(&["show", &set, "--json"]).await;
+    let (_, out, _) = run(&["show", &store_flag, "--json"]).await;
     let json: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!(
         (&json["version"], &json["withdrawn"]),
         (&5.into(), &json!(["east"]))
     );
     store.set_mode(StoreMode::Unavailable);
-    let (code, _, error) = run(&["show", &set]).await;
+    let (code, _, error) = run(&["show", &store_flag]).await;
     assert!(code == 4 && error.contains("store unreachable"), "{error}");
 }
 
-/// Starts a server with the operators' endpoints of an instance; returns the flag with its address.
+/// Starts a server with the operators' endpoints of an instance; returns the flag that gives
+/// `cowslipctl` the address.
 async fn start_instance(name: &'static str, events: EventLog) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("local address");
@@ -186,7 +187,7 @@
     format!("--set=instances.{name}={address}")
 }
 
-fn create_events(name: &str) -> EventLog {
+fn create_event_log(name: &str) -> EventLog {
     let origin = Origin {
         process: name.into(),
         data_centre: "hk-1".into(),
@@ -197,30 +198,30 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn status_and_timeline_list_unreachable_instances() {
-    let (one, two) = (create_events("entry-1"), create_events("entry-2"));
-    let first = start_instance("entry-1", one.clone()).await;
-    let second = start_instance("entry-2", two.clone()).await;
+    let (first_log, second_log) = (create_event_log("entry-1"), create_event_log("entry-2"));
+    let first = start_instance("entry-1", first_log.clone()).await;
+    let second = start_instance("entry-2", second_log.clone()).await;
     let closed = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let closed_address = closed.local_addr().expect("local address");
     drop(closed);
     let unreachable = format!("--set=instances.entry-3={closed_address}");
-    let token = "--set=token=a-long-token";
-    one.record(events::LEADERSHIP_LOST, EventFields::default());
-    two.observe_timestamp(one.next_timestamp());
-    two.record(events::LEADERSHIP_GAINED, EventFields::default());
+    let token_flag = "--set=token=a-long-token";
+    first_log.record(events::LEADERSHIP_LOST, EventFields::default());
+    second_log.observe_timestamp(first_log.next_timestamp());
+    second_log.record(events::LEADERSHIP_GAINED, EventFields::default());
 
-    let (code, out, _) = run(&["status", token, &first, &second]).await;
+    let (code, out, _) = run(&["status", token_flag, &first, &second]).await;
     assert!(
         code == 0 && out.contains("entry-1 ") && out.contains("3 / 700 / never"),
         "{out}"
     );
-    let (code, out, _) = run(&["status", token, &first, &second, &unreachable]).await;
+    let (code, out, _) = run(&["status", token_flag, &first, &second, &unreachable]).await;
     assert!(code == 5 && out.contains("unreachable: entry-3: "), "{out}");
-    assert_eq!(run(&["status", token, &unreachable]).await.0, 4);
+    assert_eq!(run(&["status", token_flag, &unreachable]).await.0, 4);
     let (code, out, _) = run(&["status", "--set=token=wrong-token", &first]).await;
     assert!(code == 4 && out.contains("401"), "{out}");
 
-    let (code, out, _) = run(&["timeline", token, &first, &second, &unreachable]).await;
+    let (code, out, _) = run(&["timeline", token_flag, &first, &second, &unreachable]).await;
     let lines: Vec<_> = out.lines().collect();
     assert_eq!((code, lines.len()), (5, 3), "{out}");
     assert!(
@@ -230,7 +231,7 @@
     assert!(lines[2].starts_with("unreachable: entry-3: "), "{out}");
     let args = [
         "timeline",
-        token,
+        token_flag,
         &first,
         &second,
         &unreachable,
@@ -244,19 +245,19 @@
         (5, Some(1))
     );
     assert!(json["unreachable"]["entry-3"].is_string());
-    let svg = TestDir::new("timeline").write("out.svg", "");
+    let svg_path = TestDir::new("timeline").write("out.svg", "");
     let args = [
         "timeline",
-        token,
+        token_flag,
         &first,
         &second,
         "--format=svg",
         "--out",
-        &svg,
+        &svg_path,
     ];
     assert_eq!(run(&args).await.0, 0);
-    let diagram = fs::read_to_string(&svg).expect("test file");
+    let diagram = fs::read_to_string(&svg_path).expect("test file");
     assert!(diagram.contains("<circle"));
-    let args = ["timeline", token, &first, "--json", "--format=svg"];
+    let args = ["timeline", token_flag, &first, "--json", "--format=svg"];
     assert_eq!(run(&args).await.0, 2);
 }
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -29,9 +29,9 @@
 /// Properties of a request that decide about its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Whether running it more than once is harmless.
+    /// Whether running the request more than once is harmless.
     pub idempotent: bool,
-    /// Whether only the one target that owns its key may run it.
+    /// Whether only the target that owns the key may run the request.
     pub sharded: bool,
     /// Most attempts of an idempotent request that may have run.
     pub max_attempts: u32,
--- a/crates/decide/src/election.rs
+++ b/crates/decide/src/election.rs
@@ -14,12 +14,12 @@
 ///
 /// The rest covers clocks that run at different rates and the delivery of a command to a target.
 const LEASE_USABLE_RATIO: f64 = 0.9;
-/// The leader renews after the lease TTL divided by this.
+/// The leader renews after the lease TTL divided by this number.
 const RENEWAL_DIVISOR: u32 = 4;
 /// Greatest age of the store timestamp in a claim; an older one requires a read first.
 const MAX_TIMESTAMP_AGE: Duration = Duration::from_millis(100);
 /// A write is expected to succeed while the renewal is late by no more than the lease TTL divided
-/// by this.
+/// by this number.
 const LATENESS_DIVISOR: u32 = 10;
 
 /// Local time on both clocks.
@@ -45,7 +45,7 @@
 pub struct LeaderRow {
     /// Version; 0 if the row does not exist.
     pub version: u64,
-    /// Whether this incarnation of this instance wrote it.
+    /// Whether this incarnation of this instance wrote the row.
     pub is_own: bool,
     /// Whether its writer has given up the leadership.
     pub released: bool,
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes a token, of which the bucket gets `rate` a second.
+    /// Removes a token from the bucket, which gets `rate` tokens a second.
     ///
     /// # Errors
     /// Returns the time to wait if there is none.
--- a/crates/decide/src/owners/manager.rs
+++ b/crates/decide/src/owners/manager.rs
@@ -85,7 +85,7 @@
         /// Handover data that the previous owner returned with its release.
         handover: Option<Name>,
     },
-    /// Takes the keys back.
+    /// Releases the keys from their owner.
     Release {
         /// Keys, owner and fence.
         assignment: Assignment,
--- a/crates/decide/src/verdict.rs
+++ b/crates/decide/src/verdict.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Why a request was refused or failed.
+/// Why a request was refused, so that it did not run, or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
     /// More requests wait for the targets than these can serve in time.
--- a/crates/decide/tests/owners_world/mod.rs
+++ b/crates/decide/tests/owners_world/mod.rs
@@ -61,7 +61,7 @@
 /// A command that has not arrived or whose outcome the leader does not know yet.
 struct SentCommand {
     command: Command,
-    sent_at: Instant,
+    sent: Instant,
     target: usize,
     incarnation: u64,
     arrives_at: Instant,
@@ -265,7 +265,7 @@
         assert!(table.is_complete(), "seed {}: {table:?}", self.seed);
         self.check_fences(&table);
         if !self.is_healed && self.rng.random_bool(0.1) {
-            // The store rejected the write.
+            // The store refused the write.
             return;
         }
         if !self.is_healed && self.rng.random_bool(0.1) {
@@ -324,7 +324,7 @@
         };
         self.commands.push(SentCommand {
             command,
-            sent_at: self.now,
+            sent: self.now,
             target: index,
             incarnation: self.targets[index].incarnation,
             arrives_at,
@@ -335,7 +335,7 @@
         });
     }
 
-    /// Executes commands that have arrived, and reports outcomes and time-outs to the leader.
+    /// Runs commands that have arrived, and reports outcomes and time-outs to the leader.
     fn deliver_commands(&mut self) {
         let now = self.now;
         let mut commands = std::mem::take(&mut self.commands);
@@ -355,10 +355,8 @@
         for mut cmd in commands {
             let ended = match (cmd.answered_at, cmd.outcome.clone()) {
                 (Some(at), Some(result)) if at <= now => Some(result),
-                (None, _) if now >= cmd.sent_at + MAX_WAIT => Some(CommandOutcome::Unknown),
-                _ if cmd.is_grant() && now >= cmd.sent_at + MAX_WAIT => {
-                    Some(CommandOutcome::Unknown)
-                }
+                (None, _) if now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
+                _ if cmd.is_grant() && now >= cmd.sent + MAX_WAIT => Some(CommandOutcome::Unknown),
                 _ => None,
             };
             if let Some(result) = ended
@@ -367,7 +365,7 @@
                 if let Some(leader) = &mut self.leader
                     && cmd.epoch == self.epoch
                 {
-                    leader.handle_outcome(&cmd.command, result, cmd.sent_at, now);
+                    leader.handle_outcome(&cmd.command, result, cmd.sent, now);
                 }
                 cmd.epoch = 0;
                 cmd.answered_at = None;
--- a/soak/src/guarantees.rs
+++ b/soak/src/guarantees.rs
@@ -45,7 +45,7 @@
     violations
 }
 
-/// Checks that requests that are not idempotent run at most once, that rejected requests (4xx or
+/// Checks that requests that are not idempotent run at most once, that refused requests (4xx or
 /// 503) did not run, that each response belongs to its request, and that no request is lost.
 fn check_requests(
     history: &HistoryData,
